--- a/crates/daemon/src/cmd/relay.rs
+++ b/crates/daemon/src/cmd/relay.rs
@@ -6,7 +6,7 @@
 
 use gumdrop::Options;
 use hibiscusvale::daemon::new_incarnation;
-use hibiscusvale::relay::{RelayDaemon, RelayEdges, RelaySettings};
+use hibiscusvale::relay::{RelayAdapters, RelayDaemon, RelaySettings};
 use hibiscusvale_platform::{
     PlatformWire, Store, StoreEvidence, StoreLog, StoreRegister, StoreServers, StoreTables,
 };
@@ -32,7 +32,7 @@
         let signals = signals::watch()?;
         let settings = RelaySettings::load(&self.file)?;
         let store = Store::new(settings.store.address);
-        let edges = RelayEdges {
+        let adapters = RelayAdapters {
             wire: Arc::new(PlatformWire),
             tables: Arc::new(StoreTables::new(store.clone())),
             register: Arc::new(StoreRegister::new(store.clone())),
@@ -40,7 +40,7 @@
             servers: Arc::new(StoreServers::new(store.clone(), settings.host.region.clone())),
             evidence: Arc::new(StoreEvidence::new(store.clone())),
         };
-        let mut daemon = RelayDaemon::start(settings, edges, new_incarnation())?;
+        let mut daemon = RelayDaemon::start(settings, adapters, new_incarnation())?;
         loop {
             match signals.wait_for(LOOK) {
                 Some(Asked::Stop | Asked::Superseded) => break,
--- a/crates/router/src/relay/budget.rs
+++ b/crates/router/src/relay/budget.rs
@@ -1,7 +1,8 @@
-//! This daemon's part of the further tries that all daemons may make together.
+//! This daemon's share of the retry budget that all daemons have together.
 //!
-//! How it is spent and lent is told in [`hibiscusvale_core::allowance`]. Parts are counted against all daemons that ever
-//! registered, not those that are seen: one that is cut off goes on spending.
+//! Spending and lending are described in [`hibiscusvale_core::allowance`]. The budget is divided by all
+//! daemons that ever registered, not only those currently reachable: a partitioned daemon keeps spending its
+//! share.
 
 use hibiscusvale_core::allowance::{AllowanceSettings, TRY};
 use hibiscusvale_core::relay::audience::Reach;
@@ -12,40 +13,40 @@
 use super::settings::BoundSettings;
 use super::state::RelayState;
 
-/// Daemons reckoned with before the register was read.
-pub const UNKNOWN_DAEMONS: u64 = 16;
+/// Number of daemons assumed until the register has been read.
+pub const ASSUMED_DAEMONS: u64 = 16;
 
-/// Part of the allowance that is handed out: a daemon that has just registered spends its part before the others have made
-/// theirs smaller.
-const HANDED_OUT: f64 = 0.8;
+/// Fraction of the budget that is handed out. The rest covers daemons that have just registered, which spend
+/// their share before the others have reduced theirs.
+const DISTRIBUTED_FRACTION: f64 = 0.8;
 
-/// How servers are judged: as everywhere, but tried again sooner. The list of servers is seconds old here, not minutes,
-/// and cuts and restarts last for seconds; set aside for half a minute a server would miss most of the time in which it
-/// is back.
-const INSTANCES: InstanceSettings =
+/// Server health settings: the defaults with a shorter back-off. The server list is seconds old here rather
+/// than minutes, and partitions and restarts last for seconds; with a back-off of half a minute a server
+/// would stay unused for most of the time after its recovery.
+const INSTANCE_SETTINGS: InstanceSettings =
     InstanceSettings { aside_ms: Millis(500), aside_max_ms: Millis(2_000), ..InstanceSettings::DEFAULT };
 
-/// Limits of the schedulers of plain services.
+/// Scheduler settings of plain services.
 pub fn plain(bounds: &BoundSettings, daemons: u64) -> PlainSettings {
     PlainSettings {
         shared_retries: Some(allowance(bounds, daemons)),
-        instance: INSTANCES,
+        instance: INSTANCE_SETTINGS,
         ..PlainSettings::default()
     }
 }
 
-/// Limits of the pools of engines.
+/// Settings of the engine pools.
 pub fn engines(bounds: &BoundSettings, daemons: u64, reach: Reach) -> EnginePoolSettings {
     EnginePoolSettings {
         retries: allowance(bounds, daemons),
-        instance: INSTANCES,
+        instance: INSTANCE_SETTINGS,
         near_first: reach == Reach::DataCentre,
         ..EnginePoolSettings::default()
     }
 }
 
 impl RelayState {
-    /// Divides the allowance among the daemons that are registered now.
+    /// Divides the retry budget among the daemons that are registered now.
     pub fn share_budget(&self) {
         let (bounds, daemons) = (self.bounds.lock().clone(), self.peers.registered());
         self.plain_hub.configure(plain(&bounds, daemons));
@@ -55,23 +56,24 @@
 }
 
 impl RelayState {
-    /// Puts the quotas of the routes in force.
+    /// Applies the partner quotas of the current route table.
     pub fn configure_quotas(&self) {
         let bounds = self.bounds.lock().quota();
         self.quotas.configure(&self.table.load(), bounds);
     }
 }
 
-/// This daemon's part, in exact fractions: whole tries would be none or one for each of some hundred daemons.
+/// This daemon's share, in fractional credit: in whole retries each of several hundred daemons would get none
+/// or one.
 fn allowance(bounds: &BoundSettings, daemons: u64) -> AllowanceSettings {
     AllowanceSettings {
         earned: credit(bounds.retry_ratio),
-        part: credit(bounds.retry_slack * HANDED_OUT / daemons.max(1) as f64),
+        part: credit(bounds.retry_slack * DISTRIBUTED_FRACTION / daemons.max(1) as f64),
         window_ms: Millis(u64::try_from(bounds.retry_window().as_millis()).unwrap_or(u64::MAX)),
     }
 }
 
 #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "checked to be in range")]
-fn credit(tries: f64) -> Credit {
-    Credit((tries * TRY.0 as f64) as u64)
+fn credit(retries: f64) -> Credit {
+    Credit((retries * TRY.0 as f64) as u64)
 }
--- a/crates/router/src/relay/callers.rs
+++ b/crates/router/src/relay/callers.rs
@@ -1,4 +1,4 @@
-//! The relay's edge towards callers.
+//! HTTP server for callers.
 
 use std::convert::Infallible;
 use std::io;
@@ -26,34 +26,35 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use super::edge::Call;
+use super::interfaces::Call;
 use super::plain;
 use super::quotas::QuotaOwner;
 use super::refusal::{Reason, Refusal};
 use super::state::{Incoming, RelayState};
-use super::story::Story;
 use super::stream;
+use super::trace::RequestTrace;
 use crate::callers::AnswerBody;
 use crate::clock;
 use crate::metrics::Label;
 
-/// Told to a caller of a daemon that has just started: it learns the routes within a second.
+/// Retry-After while the daemon has no route table; a starting daemon obtains one within a second.
 const NO_TABLE_RETRY_MS: Millis = Millis(500);
 
-/// Pause after the system refused a new connection, mostly for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Pause after a failed `accept`, usually for lack of file descriptors.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// The library takes no smaller buffer for a head.
+/// Smallest read buffer that hyper accepts.
 const MIN_HEAD_BYTES: usize = 8_192;
 
-/// Time that a request may take whose caller states none.
+/// Deadline of requests whose caller states none.
 const DEFAULT_WAIT_MS: Millis = Millis(30_000);
 
-/// Serves callers, on so many connections at a time, until `stop` fires; then lets the open connections end.
+/// Serves callers on at most `connections` concurrent connections until `stop` fires, then lets open
+/// connections finish.
 ///
 /// # Errors
 ///
-/// The system's error when the socket cannot be used.
+/// The I/O error when the socket cannot be used.
 pub async fn serve(
     state: Arc<RelayState>,
     socket: std::net::TcpListener,
@@ -62,49 +63,49 @@
 ) -> io::Result<()> {
     let socket = TcpListener::from_std(socket)?;
     let graceful = GracefulShutdown::new();
-    let room = Arc::new(Semaphore::new(connections));
+    let permits = Arc::new(Semaphore::new(connections));
     loop {
         let accepted = tokio::select! {
-            accepted = accept(&socket, &room) => accepted,
+            accepted = accept(&socket, &permits) => accepted,
             () = stop.cancelled() => break,
         };
-        let Ok((stream, place)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+        let Ok((stream, permit)) = accepted else {
+            tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
             continue;
         };
-        serve_connection(&state, stream, place, &graceful);
+        serve_connection(&state, stream, permit, &graceful);
     }
     drop(socket);
     graceful.shutdown().await;
     Ok(())
 }
 
-/// Binds the callers' address.
+/// Binds the listen address for callers.
 ///
 /// # Errors
 ///
-/// The system's error.
+/// The I/O error of the bind.
 pub fn bind(address: SocketAddr) -> io::Result<std::net::TcpListener> {
     let socket = std::net::TcpListener::bind(address)?;
     socket.set_nonblocking(true)?;
     Ok(socket)
 }
 
-/// A connection and its place. A host that runs out of descriptors can reach no server either, so callers beyond the
-/// bound wait to be accepted.
+/// Accepts a connection once a connection permit is free. Callers beyond the limit wait in the accept queue:
+/// a host that runs out of file descriptors could not connect to servers either.
 async fn accept(
     socket: &TcpListener,
-    room: &Arc<Semaphore>,
+    permits: &Arc<Semaphore>,
 ) -> io::Result<(TcpStream, OwnedSemaphorePermit)> {
-    let place = Arc::clone(room).acquire_owned().await.map_err(io::Error::other)?;
+    let permit = Arc::clone(permits).acquire_owned().await.map_err(io::Error::other)?;
     let (stream, _) = socket.accept().await?;
-    Ok((stream, place))
+    Ok((stream, permit))
 }
 
 fn serve_connection(
     state: &Arc<RelayState>,
     stream: TcpStream,
-    place: OwnedSemaphorePermit,
+    permit: OwnedSemaphorePermit,
     graceful: &GracefulShutdown,
 ) {
     if stream.set_nodelay(true).is_err() {
@@ -115,7 +116,7 @@
     let service_state = Arc::clone(state);
     let service = service_fn(move |request| {
         let state = Arc::clone(&service_state);
-        async move { Ok::<_, Infallible>(answer(&state, request).await) }
+        async move { Ok::<_, Infallible>(handle_request(&state, request).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -124,21 +125,22 @@
         .serve_connection(TokioIo::new(stream), service);
     let watched = graceful.watch(connection);
     tokio::spawn(async move {
-        // A connection that its caller broke off owes nobody anything.
+        // A caller may abort its connection at any time; nothing depends on the result.
         let _ = watched.await;
-        drop(place);
+        drop(permit);
     });
 }
 
-async fn answer(state: &Arc<RelayState>, request: Request<CallerBody>) -> Response<AnswerBody> {
+async fn handle_request(state: &Arc<RelayState>, request: Request<CallerBody>) -> Response<AnswerBody> {
     let is_chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
     let mut response = match relay(state, request).await {
         Ok(response) => response,
         Err(refusal) => refusal.into_response(&*state.wire),
     };
-    // A request may carry both an encoding and a length, and what is in front may have believed the length: what
-    // follows on the connection would then be a request that nobody made. The library goes by the encoding and
-    // hides the length, so nothing behind a chunked body is read at all (RFC 9112, section 6.1).
+    // A request may carry both Transfer-Encoding and Content-Length, and a proxy in front may have framed it
+    // by the length: what follows on the connection would then be a smuggled request. hyper frames by the
+    // encoding and hides the length, so the connection is closed after any chunked body (RFC 9112, section
+    // 6.1).
     if is_chunked || state.stopping.load(Ordering::Relaxed) {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
@@ -149,8 +151,9 @@
     state: &Arc<RelayState>,
     request: Request<CallerBody>,
 ) -> Result<Response<AnswerBody>, Refusal> {
-    let read = read(state, request).await;
-    let incoming = Arc::new(read.inspect_err(|refusal| state.metrics.turned_away(refusal.reason.label()))?);
+    let read = read_request(state, request).await;
+    let incoming =
+        Arc::new(read.inspect_err(|refusal| state.metrics.record_rejected(refusal.reason.label()))?);
     let is_stream = incoming.route.kind.is_stream();
     let answered = if is_stream {
         stream::relay(state, &incoming).await
@@ -161,36 +164,37 @@
             .unwrap_or(Err(Refusal::new(Reason::NoAnswerInTime)))
     };
     match &answered {
-        Ok(response) if !is_stream || !response.status().is_success() => incoming.note_end("answered"),
+        Ok(response) if !is_stream || !response.status().is_success() => incoming.set_outcome("answered"),
         Ok(_) => {}
         Err(refusal) => {
-            incoming.note_end(refusal.reason.label());
+            incoming.set_outcome(refusal.reason.label());
             if let Some(partner) = &incoming.partner
                 && refusal.is_not_run()
             {
-                state.quotas.put_back(state, &QuotaOwner::Partner(partner.clone()), incoming.charged);
+                state.quotas.refund(state, &QuotaOwner::Partner(partner.clone()), incoming.charged);
             }
-            state.patience.lock().refused(clock::now(), &incoming.route.name);
+            state.caller_waits.lock().refused(clock::now(), &incoming.route.name);
         }
     }
     answered
 }
 
-/// What decides among the destinations of a split route: a caller's next try may go elsewhere.
-fn draw(request_id: RequestId) -> u64 {
-    request_id.sequence.wrapping_mul(GOLDEN) >> DRAW_SHIFT
+/// Selects the destination of a split route. It depends on the request id, so a retry by the caller may reach
+/// another destination.
+fn routing_hash(request_id: RequestId) -> u64 {
+    request_id.sequence.wrapping_mul(HASH_MULTIPLIER) >> HASH_SHIFT
 }
 
-/// Spreads consecutive numbers evenly (Knuth's multiplicative hashing).
-const GOLDEN: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Multiplier of Knuth's multiplicative hashing; distributes consecutive sequence numbers evenly.
+const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The upper bits are the even ones.
-const DRAW_SHIFT: u32 = 32;
+/// Only the upper bits of the product are evenly distributed.
+const HASH_SHIFT: u32 = 32;
 
-async fn read(state: &Arc<RelayState>, request: Request<CallerBody>) -> Result<Incoming, Refusal> {
+async fn read_request(state: &Arc<RelayState>, request: Request<CallerBody>) -> Result<Incoming, Refusal> {
     let arrived = Instant::now();
     let (mut parts, body) = request.into_parts();
-    let call = state.wire.read_call(&parts).map_err(|_| Refusal::new(Reason::BadRequest))?;
+    let call = state.wire.parse_call(&parts).map_err(|_| Refusal::new(Reason::BadRequest))?;
     let table = state.table.load_full();
     if !table.is_known() {
         return Err(Refusal::retry_after(Reason::NoTable, NO_TABLE_RETRY_MS));
@@ -202,11 +206,11 @@
     route.priority = partner.and_then(|partner| partner.priority).unwrap_or(route.priority);
     let credentials = parts.headers.get(header::AUTHORIZATION).cloned();
     if !table.partners().is_empty() {
-        // From here on nothing can pass a caller's key on, or write it down.
+        // Removed here so that a caller's key can be neither forwarded nor logged.
         parts.headers.remove(header::AUTHORIZATION);
     }
     let request_id = state.next_id();
-    let service = route.destination(draw(request_id)).ok_or(Refusal::new(Reason::NoServer))?.clone();
+    let service = route.destination(routing_hash(request_id)).ok_or(Refusal::new(Reason::NoServer))?.clone();
     let deadline = arrived + Duration::from(wait_ms(&call, route.timeout_ms));
     let limit_bytes = table.limits().body_bytes.0;
     let body = read_body(body, usize::try_from(limit_bytes).unwrap_or(usize::MAX), deadline).await?;
@@ -216,7 +220,7 @@
         state.log.refused_in_quarantine(&call.id, fingerprint, left_ms);
     })?;
     let charged = charge(state, &call, partner).await?;
-    let waited_ms = state.patience.lock().waited(clock::now(), &route.name, call.wait_ms);
+    let waited_ms = state.caller_waits.lock().waited(clock::now(), &route.name, call.wait_ms);
     state.open.fetch_add(1, Ordering::Relaxed);
     Ok(Incoming {
         request_id,
@@ -233,7 +237,7 @@
         waited_ms,
         arrived,
         deadline,
-        story: Mutex::new(Story::default()),
+        trace: Mutex::new(RequestTrace::default()),
         state: Arc::clone(state),
     })
 }
@@ -263,7 +267,7 @@
     })
 }
 
-/// Takes a request out of its organisation's quota; says what it took.
+/// Charges a request to its organisation's quota and returns the amount charged.
 async fn charge(state: &RelayState, call: &Call, partner: Option<&Partner>) -> Result<Credit, Refusal> {
     let limited = partner.and_then(|partner| Some((&partner.id, partner.quota?)));
     let Some((partner, quota)) = limited else {
@@ -278,10 +282,10 @@
     charged.map(|()| credit)
 }
 
-/// A key that this daemon does not know may be newer than its table. While it cannot tell, the caller is asked to come
-/// back: after 401 it would not.
+/// Handles a request without a valid key. The key may be newer than this daemon's route table; while the
+/// table may be stale the caller is told to retry, since it would not retry after a 401.
 fn unknown_caller(state: &RelayState, unknown: UnknownCaller) -> Refusal {
-    if state.freshness.table_may_be_old(clock::now()) {
+    if state.freshness.table_may_be_stale(clock::now()) {
         return Refusal::retry_after(Reason::NoTable, NO_TABLE_RETRY_MS);
     }
     Refusal::new(unknown.into())
@@ -292,7 +296,7 @@
 }
 
 async fn read_body(body: CallerBody, limit_bytes: usize, deadline: Instant) -> Result<Bytes, Refusal> {
-    // A length announced as too large is refused before a byte of it is read.
+    // Refuse by the announced length, before reading any of the body.
     if body.size_hint().lower() > limit_bytes as u64 {
         return Err(Refusal::new(Reason::BodyTooLarge));
     }
--- a/crates/router/src/relay/crashes.rs
+++ b/crates/router/src/relay/crashes.rs
@@ -1,4 +1,4 @@
-//! Telling a server that crashed under a request from a connection that broke.
+//! Distinguishes a server that crashed under a request from a broken connection.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,66 +13,74 @@
 use super::state::Incoming;
 use crate::external::ListedState;
 
-/// A server that has written for so long does not crash for what it runs: that ends it when the run begins.
-const SURVIVED: Duration = Duration::from_secs(1);
+/// A server that has streamed events for this long is taken to have survived the request: a request that
+/// crashes servers does so when its execution begins.
+const SURVIVAL_TIME: Duration = Duration::from_secs(1);
 
-/// One sending of a request to a server.
+/// One attempt to run a request on a server.
 #[derive(Clone, Debug)]
-pub struct Sending {
+pub struct Attempt {
     server: BackendServerId,
     address: SocketAddr,
-    sent: Instant,
+    started: Instant,
     first_event: Option<Instant>,
     has_survived: bool,
 }
 
-impl Sending {
-    /// A sending that begins now.
+impl Attempt {
+    /// An attempt that starts now.
     pub fn new(server: &BackendServerId, address: SocketAddr) -> Self {
-        Self { server: server.clone(), address, sent: Instant::now(), first_event: None, has_survived: false }
+        Self {
+            server: server.clone(),
+            address,
+            started: Instant::now(),
+            first_event: None,
+            has_survived: false,
+        }
     }
 
-    /// Where it goes.
+    /// The server's address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// An event of its answer came.
-    pub fn note_event(&mut self, incoming: &Incoming) {
+    /// Records an event of the answer.
+    pub fn record_event(&mut self, incoming: &Incoming) {
         let first_event = *self.first_event.get_or_insert_with(Instant::now);
-        if !self.has_survived && first_event.elapsed() >= SURVIVED {
+        if !self.has_survived && first_event.elapsed() >= SURVIVAL_TIME {
             self.has_survived = true;
-            survived(incoming);
+            record_survival(incoming);
         }
     }
 
-    /// Its answer is complete. One without any event may be what a crash left of it.
-    pub fn note_end(&self, incoming: &Incoming) {
+    /// Records the end of the answer. An answer without any event may be the remains of a crash and does not
+    /// count.
+    pub fn record_end(&self, incoming: &Incoming) {
         if self.first_event.is_some() {
-            survived(incoming);
+            record_survival(incoming);
         }
     }
 }
 
-/// A server has run the request and lives.
-pub fn survived(incoming: &Incoming) {
+/// Reports that a server ran the request and survived.
+pub fn record_survival(incoming: &Incoming) {
     incoming.state.quarantine.survived(&incoming.state, incoming.fingerprint);
 }
 
-/// Finds out whether the server crashed when a sending failed. A request that others crashed under before waits for
-/// the result, so that it is not tried again meanwhile.
-pub async fn check(incoming: &Incoming, sending: &Sending, cause: FailureCause) {
-    if cause != FailureCause::Broken || sending.has_survived || is_leaving(incoming, &sending.server) {
+/// Checks whether the server crashed when an attempt failed. A request that is already a crash suspect waits
+/// for the result, so that it is not retried in the meantime.
+pub async fn check_for_crash(incoming: &Incoming, attempt: &Attempt, cause: FailureCause) {
+    if cause != FailureCause::Broken || attempt.has_survived || is_leaving(incoming, &attempt.server) {
         return;
     }
-    let in_flight_ms = Millis(u64::try_from(sending.sent.elapsed().as_millis()).unwrap_or(u64::MAX));
+    let in_flight_ms = Millis(u64::try_from(attempt.started.elapsed().as_millis()).unwrap_or(u64::MAX));
     let &Incoming { request_id, fingerprint, .. } = incoming;
-    let (state, sending) = (Arc::clone(&incoming.state), sending.clone());
+    let (state, attempt) = (Arc::clone(&incoming.state), attempt.clone());
     let is_suspect = state.quarantine.is_suspect(fingerprint);
     let report = async move {
-        if probe(sending.address).await == Probe::Refuses {
-            state.log.server_crashed(&sending.server, request_id, fingerprint, in_flight_ms);
-            state.quarantine.crashed(&state, fingerprint, sending.server, in_flight_ms);
+        if probe(attempt.address).await == Probe::Refuses {
+            state.log.server_crashed(&attempt.server, request_id, fingerprint, in_flight_ms);
+            state.quarantine.crashed(&state, fingerprint, attempt.server, in_flight_ms);
         }
     };
     if is_suspect {
@@ -82,7 +90,8 @@
     }
 }
 
-/// A server that leaves ends with open connections when its time is over.
+/// Whether the server is leaving or no longer listed: it closes its open connections at the end of its drain
+/// period.
 fn is_leaving(incoming: &Incoming, server: &BackendServerId) -> bool {
     let listing = incoming.state.directory.listing();
     listing.servers.get(server).is_none_or(|listed| listed.listed == ListedState::Leaving)
--- a/crates/router/src/relay/daemon.rs
+++ b/crates/router/src/relay/daemon.rs
@@ -1,4 +1,4 @@
-//! Puts a relaying daemon together and takes it down again.
+//! Starts and stops a daemon in relay mode.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,20 +16,20 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-use super::budget::{self, UNKNOWN_DAEMONS};
+use super::budget::{self, ASSUMED_DAEMONS};
 use super::callers;
-use super::edge::{DaemonEntry, EvidenceStore, Register, TableSource, Wire};
 use super::engine_hub::EngineHub;
 use super::exchange;
 use super::freshness::Freshness;
+use super::interfaces::{DaemonEntry, EvidenceStore, Register, TableSource, Wire};
 use super::limits::LimitHub;
 use super::metrics::RelayMetrics;
-use super::news::News;
 use super::orders::Orders;
 use super::peers::Peers;
 use super::persistence;
 use super::quarantine::QuarantineHub;
 use super::quotas::QuotaHub;
+use super::server_changes::ServerChangeLog;
 use super::settings::RelaySettings;
 use super::state::RelayState;
 use super::status::{self, Purpose};
@@ -42,44 +42,46 @@
 use crate::logging::Log;
 use crate::settings::SettingsError;
 
-/// Time between readiness failing and the listener closing: the balancer asks once a second and believes the second
-/// miss.
-const BALANCER_MS: Millis = Millis(2_500);
+/// Delay between readiness failing and the listener closing. The load balancer probes once a second and acts
+/// on the second failed probe.
+const DRAIN_DELAY_MS: Millis = Millis(2_500);
 
-/// Kept back of the grace period: the process has to be gone before it is killed.
-const END_RESERVE: Duration = Duration::from_millis(400);
+/// Part of the grace period kept in reserve: the process must exit before it is killed.
+const EXIT_RESERVE: Duration = Duration::from_millis(400);
 
-/// A server of the region takes a connection within some milliseconds. An opening packet that was lost is sent again
-/// after a second, too late for the targets of pages; another server is tried before that.
+/// Connect timeout to servers. A server in the region accepts within milliseconds. A lost SYN is
+/// retransmitted only after a second, too late for page latency targets, so another server is tried before
+/// that.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Pause between looks at what is still open while stopping.
-const STOP_POLL: Duration = Duration::from_millis(20);
+/// Interval at which open requests are checked while stopping.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The systems around a relaying daemon.
+/// Adapters for the external systems of a daemon.
 #[derive(Clone, Debug)]
-pub struct RelayEdges {
-    /// How callers and servers speak.
+pub struct RelayAdapters {
+    /// Protocol of callers and backend servers.
     pub wire: Arc<dyn Wire>,
-    /// Where routes are published.
+    /// Source of the route table.
     pub tables: Arc<dyn TableSource>,
-    /// Where the daemons find each other.
+    /// Register in which daemons discover each other.
     pub register: Arc<dyn Register>,
-    /// Where the lease over orders is kept.
+    /// Log that stores the lease for engine orders.
     pub log: Arc<dyn RecordLog>,
-    /// Where servers are listed.
+    /// Source of the server list.
     pub servers: Arc<dyn HostList>,
-    /// Where evidence against requests outlives the daemons.
+    /// Store for crash evidence that outlives the daemons.
     pub evidence: Arc<dyn EvidenceStore>,
 }
 
-/// A running daemon.
+/// A running daemon in relay mode.
 #[derive(Debug)]
 pub struct RelayDaemon {
     state: Arc<RelayState>,
-    /// Callers, servers, and the schedulers' timers.
+    /// Runtime for callers, backend servers and scheduler timers.
     traffic: Runtime,
-    /// Routes, servers, other daemons, orders: a burst of callers cannot delay them.
+    /// Runtime for routes, server list, other daemons and orders; separate, so that a burst of callers cannot
+    /// delay them.
     control: Runtime,
     stop_listening: CancellationToken,
     serving: JoinHandle<io::Result<()>>,
@@ -88,42 +90,42 @@
 }
 
 impl RelayDaemon {
-    /// Starts a daemon on `settings`, meeting the world through `edges`.
+    /// Starts a daemon with `settings` and the given adapters.
     ///
     /// # Errors
     ///
     /// [`StartError`].
     pub fn start(
         settings: RelaySettings,
-        edges: RelayEdges,
+        adapters: RelayAdapters,
         incarnation: Incarnation,
     ) -> Result<Self, StartError> {
         let log = Log::stdout(settings.observe.log_level)?;
         let traffic = runtime("traffic")?;
         let control = runtime("control")?;
-        let (asks, asked) = Asks::channel();
+        let (asks, loan_requests) = Asks::channel();
         let (quotas, outgoing) = QuotaHub::new(settings.host.id.clone());
         let (quarantine, evidence_due) = QuarantineHub::new(incarnation);
         let state = Arc::new(RelayState {
-            wire: edges.wire,
+            wire: adapters.wire,
             table: ArcSwap::from_pointee(RouteTable::default()),
             directory: Arc::new(Directory::default()),
             http: BackendHttp::with_connect_timeout(CONNECT_TIMEOUT),
             plain_hub: PlainHub::new(
-                budget::plain(&settings.bounds, UNKNOWN_DAEMONS),
+                budget::plain(&settings.bounds, ASSUMED_DAEMONS),
                 incarnation.seed(),
                 asks.clone(),
             ),
             engine_hub: EngineHub::new(
-                budget::engines(&settings.bounds, UNKNOWN_DAEMONS, Reach::default()),
+                budget::engines(&settings.bounds, ASSUMED_DAEMONS, Reach::default()),
                 &settings.host,
                 incarnation.seed(),
                 asks,
             ),
             freshness: Freshness::default(),
-            patience: Mutex::default(),
-            news: News::default(),
-            handed_on: Mutex::default(),
+            caller_waits: Mutex::default(),
+            server_changes: ServerChangeLog::default(),
+            transfer_budget: Mutex::default(),
             peers: Peers::new(&settings.host, settings.listen.peers, &settings.peers.seeds),
             quotas,
             limits: LimitHub::default(),
@@ -151,35 +153,38 @@
             traffic.spawn(status::serve(Arc::clone(&state), address, Purpose::Metrics));
         }
         let host = settings.host.id.clone();
-        control.spawn(watch::follow_table(edges.tables, host.clone(), Arc::clone(&state)));
-        control.spawn(watch::follow_servers(edges.servers, host, Arc::clone(&state)));
+        control.spawn(watch::follow_table(adapters.tables, host.clone(), Arc::clone(&state)));
+        control.spawn(watch::follow_servers(adapters.servers, host, Arc::clone(&state)));
         let own = DaemonEntry {
             host: settings.host.id.clone(),
             data_centre: settings.host.data_centre.clone(),
             peer_address: settings.listen.peers,
         };
-        let telling = exchange::run(own.peer_address, own.host.clone(), asked, outgoing, Arc::clone(&state));
+        let messaging =
+            exchange::run(own.peer_address, own.host.clone(), loan_requests, outgoing, Arc::clone(&state));
         let log = state.log.clone();
         control.spawn(async move {
-            if let Err(error) = telling.await {
+            if let Err(error) = messaging.await {
                 log.fault("daemons are not told anything: the address for them cannot be bound", &error);
             }
         });
         control.spawn(exchange::follow_register(
-            edges.register,
+            adapters.register,
             own,
             settings.peers.first_start,
             Arc::clone(&state),
         ));
-        control.spawn(persistence::run(edges.evidence, evidence_due, Arc::clone(&state)));
-        // One lease for all engines of the region.
+        control.spawn(persistence::run(adapters.evidence, evidence_due, Arc::clone(&state)));
+        // One lease covers all engines of the region.
         match settings.host.region.as_str().parse() {
             Ok(scope) => {
                 let host = settings.host.id.clone();
-                control.spawn(Orders::new(edges.log, Arc::clone(&state), host, scope).run());
+                control.spawn(Orders::new(adapters.log, Arc::clone(&state), host, scope).run());
             }
             Err(error) => {
-                state.log.fault("no orders are given: the region's name is none of a lease", &error);
+                state
+                    .log
+                    .fault("role-change orders disabled: the region name is not a valid lease scope", &error);
             }
         }
         let timers = Arc::clone(&state);
@@ -189,17 +194,17 @@
         Ok(Self { state, traffic, control, stop_listening, serving, settings, callers_address })
     }
 
-    /// Where callers are served.
+    /// Bound listen address for callers.
     pub fn callers_address(&self) -> SocketAddr {
         self.callers_address
     }
 
-    /// Whether callers can be served.
+    /// Whether the daemon can serve callers.
     pub fn is_ready(&self) -> bool {
         self.state.is_ready()
     }
 
-    /// Version of the routes in force.
+    /// Version of the route table in force.
     pub fn routes_version(&self) -> TableVersion {
         self.state.table.load().version()
     }
@@ -209,8 +214,8 @@
         &self.settings
     }
 
-    /// Takes settings that were read again. Bounds come into force at once, addresses of this daemon's own with its
-    /// next start. A file that cannot be used, or read half written, changes nothing.
+    /// Applies settings that were read again. Bounds take effect at once, listen addresses only at the next
+    /// start. An unusable or partially written file changes nothing.
     pub fn reload(&mut self, read: Result<RelaySettings, SettingsError>) {
         match read {
             Ok(settings) if settings == self.settings => {}
@@ -225,20 +230,20 @@
         }
     }
 
-    /// Stops gracefully: readiness fails first, new callers are served until the balancer has noticed, then what is
-    /// open ends in its own time, within the grace period.
+    /// Stops gracefully: readiness fails first, new callers are served until the balancer has noticed, then
+    /// open requests run to their end, all within the grace period.
     pub fn stop(self) {
         let Self { state, traffic, control, stop_listening, serving, settings, .. } = self;
         state.log.changed("stopping", &state.open.load(Ordering::Relaxed));
         state.stopping.store(true, Ordering::Relaxed);
-        let grace = settings.bounds.grace().saturating_sub(END_RESERVE);
+        let grace = settings.bounds.grace().saturating_sub(EXIT_RESERVE);
         let ended = traffic.block_on(async {
             tokio::time::timeout(grace, async {
-                tokio::time::sleep(Duration::from(BALANCER_MS)).await;
+                tokio::time::sleep(Duration::from(DRAIN_DELAY_MS)).await;
                 stop_listening.cancel();
                 let _ = serving.await;
                 while state.open.load(Ordering::Relaxed) > 0 {
-                    tokio::time::sleep(STOP_POLL).await;
+                    tokio::time::sleep(STOP_POLL_INTERVAL).await;
                 }
             })
             .await
--- a/crates/router/src/relay/engine_hub.rs
+++ b/crates/router/src/relay/engine_hub.rs
@@ -1,5 +1,5 @@
-//! Where the pools of engines meet the tasks that carry their decisions out. One pool for each service; see
-//! [`crate::dispatch::Hub`] for the shape.
+//! Connects the engine pools with the tasks that execute their decisions, one pool per service;
+//! [`crate::dispatch::Hub`] has the same structure.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use parking_lot::Mutex;
 use tokio::sync::mpsc;
 
-use super::pace::Urgency;
+use super::pacing::Urgency;
 use super::state::RelayState;
 use crate::clock;
 use crate::directory::{BackendKind, Listing};
@@ -31,7 +31,7 @@
     open: HashMap<RequestId, mpsc::UnboundedSender<EngineAction>>,
 }
 
-/// The pools by service.
+/// Engine pools by service.
 #[derive(Debug)]
 pub struct EngineHub {
     services: Mutex<HashMap<String, Service>>,
@@ -43,7 +43,7 @@
     asks: Asks,
 }
 
-/// An open request; dropped, it tells the pool that its caller left unless it had ended.
+/// An open request. Dropping it tells the pool that the caller left, unless the request had ended.
 #[derive(Debug)]
 pub struct OpenRequest {
     service: String,
@@ -53,25 +53,25 @@
 }
 
 impl OpenRequest {
-    /// The pool's next step.
+    /// The pool's next action.
     pub async fn step(&mut self) -> Option<EngineAction> {
         self.steps.recv().await
     }
 
-    /// Tells the pool what the other daemons need not hear at once.
-    pub fn feed_quietly(&self, event: EngineEvent) {
+    /// Passes an event to the pool without scheduling a message to the other daemons.
+    pub fn feed_without_message(&self, event: EngineEvent) {
         self.state.engine_hub.feed(&self.service, event);
     }
 
-    /// Tells the pool how a step went.
+    /// Passes an event to the pool and schedules a message to the other daemons.
     pub fn feed(&self, event: EngineEvent) {
         let urgency = urgency_of(&event);
         self.state.engine_hub.feed(&self.service, event);
-        self.state.peers.touch(urgency);
+        self.state.peers.schedule_message(urgency);
     }
 }
 
-/// How soon the other daemons should know of what an event changes.
+/// How soon the other daemons need to learn of the change that an event causes.
 fn urgency_of(event: &EngineEvent) -> Urgency {
     match event {
         EngineEvent::PromptRead { .. } | EngineEvent::Started { .. } | EngineEvent::Progress { .. } => {
@@ -96,7 +96,7 @@
     fn drop(&mut self) {
         let hub = &self.state.engine_hub;
         hub.feed(&self.service, EngineEvent::CallerLeft { request_id: self.request_id });
-        self.state.peers.touch(Urgency::Soon);
+        self.state.peers.schedule_message(Urgency::Soon);
         if let Some(service) = hub.services.lock().get_mut(&self.service) {
             service.open.remove(&self.request_id);
         }
@@ -104,7 +104,7 @@
 }
 
 impl EngineHub {
-    /// A hub that knows no services.
+    /// A hub without services.
     pub fn new(settings: EnginePoolSettings, host: &HostSettings, seed: u64, asks: Asks) -> Self {
         Self {
             services: Mutex::default(),
@@ -117,18 +117,18 @@
         }
     }
 
-    /// Takes a request in. `None` when the service has no engines.
+    /// Passes a new request to the pool of `service`; `None` when the service has no engines.
     pub fn arrive(state: &Arc<RelayState>, service: &str, demand: Demand) -> Option<OpenRequest> {
         let (sender, steps) = mpsc::unbounded_channel();
         let request_id = demand.request_id;
         let hub = &state.engine_hub;
         hub.services.lock().get_mut(service)?.open.insert(request_id, sender);
         hub.feed(service, EngineEvent::Arrive(demand));
-        state.peers.touch(Urgency::Soon);
+        state.peers.schedule_message(Urgency::Soon);
         Some(OpenRequest { service: service.to_owned(), request_id, steps, state: Arc::clone(state) })
     }
 
-    /// Adopts the listing.
+    /// Updates the pools from the server list.
     pub fn adopt(&self, listing: &Listing) {
         let mut lists: HashMap<String, Vec<ListedEngine>> = HashMap::new();
         for server in listing.servers.values() {
@@ -150,9 +150,9 @@
             let settings = *self.settings.lock();
             let mut services = self.services.lock();
             for name in lists.keys() {
-                let turn = usize::try_from(self.seed % TURNS).unwrap_or_default();
+                let offset = usize::try_from(self.seed % OFFSET_RANGE).unwrap_or_default();
                 services.entry(name.clone()).or_insert_with(|| Service {
-                    pool: EnginePool::new(settings, &self.host, turn),
+                    pool: EnginePool::new(settings, &self.host, offset),
                     open: HashMap::new(),
                 });
             }
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Takes what the configuration says of the engines.
+    /// Applies the engine settings of the route table.
     pub fn configure(&self, table: &RouteTable) {
         let settings = *self.settings.lock();
         let mut services = self.services.lock();
@@ -183,19 +183,19 @@
         }
     }
 
-    /// Changes the limits that do not come with the routes; those in force take them with the next look at the
-    /// routes.
+    /// Sets the limits that are not part of the route table; existing pools apply them at the next
+    /// [`Self::configure`].
     pub fn set_budget(&self, settings: EnginePoolSettings) {
         *self.settings.lock() = settings;
     }
 
-    /// What this daemon has at the engines, by service.
+    /// What this daemon holds at the engines, by service.
     pub fn holdings(&self) -> Vec<(String, Holdings)> {
         let services = self.services.lock();
         services.iter().map(|(name, service)| (name.clone(), service.pool.holdings(clock::now()))).collect()
     }
 
-    /// Takes what another daemon has at the engines.
+    /// Updates what another daemon holds at the engines.
     pub fn peer(&self, host: &HostId, holdings: Vec<(String, Holdings)>) {
         let mut holdings: HashMap<String, Holdings> = holdings.into_iter().collect();
         let names: Vec<String> = self.services.lock().keys().cloned().collect();
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Another daemon is gone, and what it had with it.
+    /// Removes what another daemon holds after it timed out.
     pub fn peer_gone(&self, host: &HostId) {
         let names: Vec<String> = self.services.lock().keys().cloned().collect();
         for name in names {
@@ -222,19 +222,19 @@
         shifts.filter_map(|(name, service)| Some((name.clone(), service.pool.next_shift(now_us)?))).collect()
     }
 
-    /// An engine was ordered to change its role, or may have been.
+    /// Records that an engine was ordered to change its role, or may have been.
     pub fn shifted(&self, service: &str, shift: &Shift) {
         if let Some(service) = self.services.lock().get_mut(service) {
             service.pool.shifted(clock::now(), shift);
         }
     }
 
-    /// Tells the pools that the limit which an engine states is used up.
+    /// Tells the pools that the rate limit stated by an engine is used up.
     pub fn limited(&self, server: &BackendServerId, reached: LimitReached) {
         self.feed_all(&EngineEvent::Limited { server: server.clone(), reached });
     }
 
-    /// What this daemon could lend of its further tries, by service.
+    /// Spare retry credit that this daemon can lend, by service.
     pub fn spares(&self) -> Vec<(String, Credit)> {
         let now_us = clock::now();
         let mut services = self.services.lock();
@@ -243,32 +243,33 @@
         spares.filter(|(_, spare)| *spare > Credit::ZERO).collect()
     }
 
-    /// Takes what another daemon could lend.
-    pub fn told_spares(&self, host: &HostId, spares: &[(String, Credit)]) {
+    /// Updates the spare credit of another daemon.
+    pub fn receive_spares(&self, host: &HostId, spares: &[(String, Credit)]) {
         for (name, service) in self.services.lock().iter_mut() {
             service.pool.allowance().told(host, spare_of(spares, name));
         }
     }
 
-    /// Lends to another daemon; says what, and what is left. `None` when there is no such service.
-    pub fn lend(&self, name: &str, wants: Credit) -> Option<(Credit, Credit)> {
+    /// Lends to another daemon; returns the amount lent and the spare credit left, or `None` when there is no
+    /// such service.
+    pub fn lend(&self, name: &str, requested: Credit) -> Option<(Credit, Credit)> {
         let now_us = clock::now();
         let mut services = self.services.lock();
         let allowance = services.get_mut(name)?.pool.allowance();
-        Some((allowance.lend(now_us, wants), allowance.spare(now_us)))
+        Some((allowance.lend(now_us, requested), allowance.spare(now_us)))
     }
 
-    /// Another daemon answered a question for a loan.
+    /// Records another daemon's reply to a loan request.
     pub fn lent(&self, name: &str, number: u64, credit: Credit, spare: Credit) {
         self.feed(name, EngineEvent::Lent { number, credit, spare });
     }
 
-    /// What the pools counted.
+    /// Counters of the pools.
     pub fn counters(&self) -> Vec<EngineCounters> {
         self.services.lock().values().map(|service| *service.pool.counters()).collect()
     }
 
-    /// Lets time pass for the pools, for as long as the daemon runs.
+    /// Runs the pools' timers for as long as the daemon runs.
     pub async fn run_timers(&self) {
         self.alarm.run(|| self.feed_all(&EngineEvent::Tick)).await;
     }
@@ -297,7 +298,7 @@
                 | EngineAction::Refuse { request_id, .. }
                 | EngineAction::Unknown { request_id } => {
                     if let Some(open) = service.open.get(request_id) {
-                        // A task that has ended needs no more steps.
+                        // The receiving task may have ended already.
                         let _ = open.send(action);
                     }
                 }
@@ -306,5 +307,6 @@
     }
 }
 
-/// Different first choices of the daemons; any number above the engines of a service does.
-const TURNS: u64 = 1_024;
+/// Number of different start offsets, so that daemons differ in their first choice of engine; any number
+/// above the engines of a service does.
+const OFFSET_RANGE: u64 = 1_024;
--- a/crates/router/src/relay/events.rs
+++ b/crates/router/src/relay/events.rs
@@ -1,67 +1,67 @@
-//! Cuts a stream of server-sent events into whole events.
+//! Splits a stream of server-sent events into complete events.
 //!
-//! Only whole events are passed on, so that a stream that breaks off inside one can go on with the next from
-//! another server: the caller sees neither half an event nor one twice.
+//! Only complete events are forwarded, so that a stream that breaks off inside an event can be resumed on
+//! another server with the next one: the caller receives neither a partial nor a duplicate event.
 
 use bytes::{Buf, Bytes, BytesMut};
 
-use super::edge::EventId;
+use super::interfaces::EventId;
 
-/// Bytes of one event at most. A larger one is no event.
+/// Largest event. A stream without an event end within this size is invalid.
 const EVENT_LIMIT_BYTES: usize = 1 << 20;
 
-/// A stream that is not made of events.
+/// The stream does not consist of server-sent events.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("stream is not made of events")]
-pub struct NotEvents;
+#[error("stream does not consist of server-sent events")]
+pub struct NotEventStream;
 
-/// Whole events that can be passed on.
+/// Complete events that can be forwarded.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Events {
-    /// Their bytes as they came.
+    /// Bytes of the events, unchanged.
     pub bytes: Bytes,
-    /// Number of the last one.
+    /// Id of the last event; `None` if no event has one.
     pub last: Option<EventId>,
 }
 
-/// Collects bytes until they make whole events.
+/// Buffers bytes until they form complete events.
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     held: BytesMut,
-    /// Bytes of `held` that were looked at.
-    seen: usize,
+    /// Bytes of `held` that were already searched for an event end.
+    searched: usize,
 }
 
-impl EventCutter {
-    /// Takes more bytes; returns the whole events among what is held, if any.
+impl EventSplitter {
+    /// Appends bytes and returns the complete events that are buffered, if any.
     ///
     /// # Errors
     ///
-    /// [`NotEvents`] when an event grows without end.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Option<Events>, NotEvents> {
+    /// [`NotEventStream`] when an event exceeds the size limit.
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Option<Events>, NotEventStream> {
         self.held.extend_from_slice(bytes);
-        let Some(end) = self.end_of_last() else {
-            self.seen = self.held.len().saturating_sub(1);
-            return if self.held.len() > EVENT_LIMIT_BYTES { Err(NotEvents) } else { Ok(None) };
+        let Some(end) = self.last_event_end() else {
+            self.searched = self.held.len().saturating_sub(1);
+            return if self.held.len() > EVENT_LIMIT_BYTES { Err(NotEventStream) } else { Ok(None) };
         };
         let bytes = self.held.split_to(end).freeze();
-        self.seen = 0;
+        self.searched = 0;
         let last = last_id(&bytes);
         Ok(Some(Events { bytes, last }))
     }
 
-    /// What is held beyond the last whole event, at the end of the stream.
-    pub fn rest(&mut self) -> Bytes {
-        self.seen = 0;
-        let mut rest = std::mem::take(&mut self.held);
-        rest.copy_to_bytes(rest.len())
+    /// Bytes after the last complete event, at the end of the stream.
+    pub fn remainder(&mut self) -> Bytes {
+        self.searched = 0;
+        let mut remainder = std::mem::take(&mut self.held);
+        remainder.copy_to_bytes(remainder.len())
     }
 
-    /// Where the last whole event ends: behind its empty line.
-    fn end_of_last(&self) -> Option<usize> {
-        let fresh = &self.held[self.seen..];
-        let at = fresh.windows(2).rposition(|pair| pair == b"\n\n");
-        at.map(|at| self.seen + at + 2)
+    /// End offset of the last complete event, after its empty line.
+    fn last_event_end(&self) -> Option<usize> {
+        let unsearched = &self.held[self.searched..];
+        let at = unsearched.windows(2).rposition(|pair| pair == b"\n\n");
+        at.map(|at| self.searched + at + 2)
     }
 }
 
--- /dev/null
+++ b/crates/router/src/relay/forwarding.rs
@@ -0,0 +1,192 @@
+//! Forwards a stream to its caller and fails over to another engine when it breaks off.
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use futures_util::stream;
+use hibiscusvale_core::relay::engines::EngineEvent;
+use hibiscusvale_core::sched::FailureCause;
+use hibiscusvale_core::units::Millis;
+use http::{HeaderMap, Response, StatusCode};
+use http_body_util::{BodyExt, StreamBody};
+use hyper::body::{Frame, Incoming as ServerBody};
+use tokio::time::Instant;
+
+use super::events::EventSplitter;
+use super::interfaces::EventId;
+use super::stream::StreamedRequest;
+use super::trace::cause_label;
+use crate::callers::{AnswerBody, BodyBroken};
+
+/// Silence of an engine after which it is probed with another connection. It is several times the longest
+/// pause that meets the targets; an engine that accepts the probe is alive, and its answer is awaited however
+/// slow it is.
+const PROBE_AFTER: Duration = Duration::from_secs(1);
+
+/// Further silence of a live engine after which a resumable stream fails over: a middlebox may have dropped
+/// the open connection, and callers leave after two seconds at the earliest.
+const FAILOVER_AFTER: Duration = Duration::from_millis(900);
+
+/// Progress is reported to the pool at the first event and at each doubling of the event number after it:
+/// early on, while the decoding speed is unknown, and seven times for an answer of a hundred events.
+const REPORT_FACTOR: u64 = 2;
+
+/// A stream that is forwarded to its caller. It is driven by polling the caller's response body, so a caller
+/// that leaves drops it together with the engine's connection.
+struct StreamForwarder {
+    request: StreamedRequest,
+    body: Option<ServerBody>,
+    splitter: EventSplitter,
+    progress: Progress,
+}
+
+/// Progress reports to the pool while an answer is streamed.
+struct Progress {
+    /// Event number at which the next report is due.
+    report_at: u64,
+    last_event_at: Option<Instant>,
+    /// Longest pause since the last report.
+    longest_pause: Duration,
+}
+
+impl Progress {
+    fn new() -> Self {
+        Self { report_at: 1, last_event_at: None, longest_pause: Duration::ZERO }
+    }
+
+    /// Records an event; returns the longest pause when a report is due.
+    fn record(&mut self, at: Instant, number: u64) -> Option<Millis> {
+        if let Some(before) = self.last_event_at.replace(at) {
+            self.longest_pause = self.longest_pause.max(at - before);
+        }
+        if number < self.report_at {
+            return None;
+        }
+        self.report_at = number * REPORT_FACTOR;
+        let pause = std::mem::take(&mut self.longest_pause);
+        Some(Millis(u64::try_from(pause.as_millis()).unwrap_or(u64::MAX)))
+    }
+}
+
+impl StreamForwarder {
+    /// The next complete events; `None` at the end of the answer.
+    async fn next(&mut self) -> Result<Option<Bytes>, BodyBroken> {
+        while let Some(body) = &mut self.body {
+            match next_chunk(body, &self.request).await {
+                Ok(Some(bytes)) => {
+                    let Ok(events) = self.splitter.push(&bytes) else {
+                        return Err(self.abort(FailureCause::Broken));
+                    };
+                    if let Some(events) = events {
+                        self.record_progress(events.last);
+                        return Ok(Some(events.bytes));
+                    }
+                }
+                // Where the answer is delimited by the end of the connection, a crash looks like an end.
+                Ok(None) if !self.request.has_events() => self.fail_over(FailureCause::Broken).await?,
+                Ok(None) => {
+                    self.body = None;
+                    self.request.incoming.set_outcome("answered");
+                    self.request.record_end();
+                    self.request.open.feed(self.request.finished_event());
+                    let remainder = self.splitter.remainder();
+                    return Ok((!remainder.is_empty()).then_some(remainder));
+                }
+                Err(cause) => self.fail_over(cause).await?,
+            }
+        }
+        Ok(None)
+    }
+
+    async fn fail_over(&mut self, cause: FailureCause) -> Result<(), BodyBroken> {
+        // Close the connection first: two engines must not decode for one request.
+        self.body = None;
+        self.request.record_break(cause).await;
+        if !self.request.is_repeatable() || self.request.incoming.left().is_zero() {
+            return Err(self.abort(cause));
+        }
+        self.splitter = EventSplitter::default();
+        match self.request.resume(cause).await {
+            Ok(body) => {
+                self.body = Some(body);
+                Ok(())
+            }
+            Err(BodyBroken) => Err(self.abort(cause)),
+        }
+    }
+
+    fn abort(&self, cause: FailureCause) -> BodyBroken {
+        self.request.incoming.set_outcome(cause_label(cause));
+        let request_id = self.request.incoming.request_id;
+        self.request.open.feed(EngineEvent::WriteFailed { request_id, cause });
+        BodyBroken
+    }
+
+    fn record_progress(&mut self, last: Option<EventId>) {
+        if let Some(EventId(number)) = last {
+            self.request.incoming.record_last_event(number);
+            self.request.record_event();
+            let request_id = self.request.incoming.request_id;
+            if self.request.last_event == self.request.incoming.call.after_event {
+                self.request.open.feed(EngineEvent::Started { request_id });
+                self.request.incoming.record_first_event();
+            }
+            if let Some(longest_pause_ms) = self.progress.record(Instant::now(), number) {
+                let progress = EngineEvent::Progress { request_id, events: number, longest_pause_ms };
+                self.request.open.feed_without_message(progress);
+            }
+            self.request.last_event = last;
+        }
+    }
+}
+
+/// The next bytes of an answer. Silence ends only a resumable stream, and immediately only if the engine is
+/// unreachable.
+async fn next_chunk(body: &mut ServerBody, request: &StreamedRequest) -> Result<Option<Bytes>, FailureCause> {
+    if !request.is_repeatable() {
+        return chunk_within(body, request.incoming.left()).await;
+    }
+    let first = chunk_within(body, PROBE_AFTER.min(request.incoming.left())).await;
+    if first != Err(FailureCause::Timeout) || !request.is_engine_reachable().await {
+        return first;
+    }
+    chunk_within(body, FAILOVER_AFTER.min(request.incoming.left())).await
+}
+
+async fn chunk_within(body: &mut ServerBody, limit: Duration) -> Result<Option<Bytes>, FailureCause> {
+    loop {
+        match tokio::time::timeout(limit, body.frame()).await {
+            Ok(Some(Ok(frame))) => {
+                if let Ok(bytes) = frame.into_data() {
+                    return Ok(Some(bytes));
+                }
+            }
+            Ok(Some(Err(_))) => return Err(FailureCause::Broken),
+            Ok(None) => return Ok(None),
+            Err(_elapsed) => return Err(FailureCause::Timeout),
+        }
+    }
+}
+
+/// The response that streams events to the caller.
+pub(super) fn streamed(
+    status: StatusCode,
+    headers: HeaderMap,
+    request: StreamedRequest,
+    body: ServerBody,
+) -> Response<AnswerBody> {
+    let forwarder = StreamForwarder {
+        request,
+        body: Some(body),
+        splitter: EventSplitter::default(),
+        progress: Progress::new(),
+    };
+    let events = stream::try_unfold(forwarder, |mut forwarder| async move {
+        let next = forwarder.next().await?;
+        Ok::<_, BodyBroken>(next.map(|bytes| (Frame::data(bytes), forwarder)))
+    });
+    let mut response = Response::new(StreamBody::new(events).boxed_unsync());
+    *response.status_mut() = status;
+    *response.headers_mut() = headers;
+    response
+}
--- a/crates/router/src/relay/hop.rs
+++ b/crates/router/src/relay/hop.rs
@@ -1,4 +1,4 @@
-//! One sending of a request to a backend server, and what its answer proves.
+//! One attempt to send a request to a backend server, and what the answer proves.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,40 +10,40 @@
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 
-use super::edge::{EngineCall, Hop, ReplyHead, Wire};
-use super::state::{Incoming as Arrived, RelayState};
+use super::interfaces::{EngineCall, Hop, ReplyHead, Wire};
+use super::state::{Incoming as IncomingRequest, RelayState};
 use crate::backend::{BackendHttp, CallFailure, KnownReply, Trust, read_body, uri};
 use crate::callers::AnswerBody;
 
-/// Answers up to this size are read whole before the caller's answer starts, so that one that breaks off can be
-/// asked for again, or be told as a failure.
-const WHOLE_ANSWER_BYTES: usize = 256 << 10;
+/// Answers up to this size are buffered before the caller's answer starts, so that one that breaks off can be
+/// retried or reported as a failure.
+const BUFFERED_ANSWER_BYTES_MAX: usize = 256 << 10;
 
-/// An answer of a server whose head is in order.
+/// A server's answer with a valid head.
 #[derive(Debug)]
 pub struct Reply {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Its headers as they came.
+    /// Headers as received.
     pub headers: HeaderMap,
-    /// What they say.
+    /// The parsed head.
     pub head: ReplyHead,
     known: KnownReply,
 }
 
-/// An answer read to its end.
+/// A fully buffered answer.
 #[derive(Clone, Debug)]
-pub struct WholeReply {
-    /// Its status.
+pub struct BufferedReply {
+    /// HTTP status.
     pub status: StatusCode,
-    /// Its headers as they came.
+    /// Headers as received.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
 }
 
-impl WholeReply {
-    /// The answer that gives it to the caller.
+impl BufferedReply {
+    /// Converts it into the answer to the caller.
     pub fn into_response(self, wire: &dyn Wire) -> Response<AnswerBody> {
         let body = Full::new(self.body).map_err(|never| match never {}).boxed_unsync();
         let mut response = Response::new(body);
@@ -54,20 +54,20 @@
 }
 
 impl Reply {
-    /// Its body, for an answer that is passed on as it comes.
+    /// The body, for an answer that is streamed to the caller.
     pub fn into_body(self) -> Incoming {
         self.known.response.into_body()
     }
 
-    /// Reads it to its end.
+    /// Buffers the rest of the answer.
     ///
     /// # Errors
     ///
     /// [`FailureCause`]; the request has run.
-    pub async fn whole(self, timeout: Duration) -> Result<WholeReply, FailureCause> {
+    pub async fn into_buffered(self, timeout: Duration) -> Result<BufferedReply, FailureCause> {
         let Self { status, headers, known, .. } = self;
-        let body = read_body(known.response.into_body(), WHOLE_ANSWER_BYTES, timeout).await;
-        Ok(WholeReply { status, headers, body: body.map_err(cause_of)? })
+        let body = read_body(known.response.into_body(), BUFFERED_ANSWER_BYTES_MAX, timeout).await;
+        Ok(BufferedReply { status, headers, body: body.map_err(failure_cause)? })
     }
 }
 
@@ -79,14 +79,14 @@
 pub async fn send(
     http: &BackendHttp,
     wire: &dyn Wire,
-    arrived: &Arrived,
+    incoming: &IncomingRequest,
     to: SocketAddr,
     hop: &Hop<'_>,
     trust: Trust,
     timeout: Duration,
 ) -> Result<Reply, FailureCause> {
-    let reply = exchange(http, wire, arrived, to, hop, trust, timeout).await?;
-    match judge(arrived, reply.status, &reply.head) {
+    let reply = exchange(http, wire, incoming, to, hop, trust, timeout).await?;
+    match classify_head(incoming, reply.status, &reply.head) {
         Ok(()) => Ok(reply),
         Err(cause) => {
             if cause == FailureCause::Broken {
@@ -97,23 +97,23 @@
     }
 }
 
-/// As [`send`] on any connection, for reading a prompt: that answer is for the relay and carries no seal.
+/// Like [`send`] for a prefill, over any connection: that answer is for the router and carries no seal.
 ///
 /// # Errors
 ///
-/// As [`send`].
-pub async fn send_read(
+/// As for [`send`].
+pub async fn send_prefill(
     http: &BackendHttp,
     wire: &dyn Wire,
-    arrived: &Arrived,
+    incoming: &IncomingRequest,
     to: SocketAddr,
     hop: &Hop<'_>,
     timeout: Duration,
 ) -> Result<Reply, FailureCause> {
-    let reply = exchange(http, wire, arrived, to, hop, Trust::Pooled, timeout).await?;
-    match judge(arrived, reply.status, &reply.head) {
+    let reply = exchange(http, wire, incoming, to, hop, Trust::Pooled, timeout).await?;
+    match classify_head(incoming, reply.status, &reply.head) {
         Err(cause @ (FailureCause::NoRoom | FailureCause::Leaving)) => Err(cause),
-        _ if reply.head.id.as_deref().is_some_and(|id| id != arrived.call.id.as_str()) => {
+        _ if reply.head.id.as_deref().is_some_and(|id| id != incoming.call.id.as_str()) => {
             reply.known.distrust();
             Err(FailureCause::Broken)
         }
@@ -125,27 +125,27 @@
 async fn exchange(
     http: &BackendHttp,
     wire: &dyn Wire,
-    arrived: &Arrived,
+    incoming: &IncomingRequest,
     to: SocketAddr,
     hop: &Hop<'_>,
     trust: Trust,
     timeout: Duration,
 ) -> Result<Reply, FailureCause> {
-    let request = request_of(wire, arrived, to, hop).map_err(|_| FailureCause::NotSent)?;
-    let mut known = http.send_known(trust, request, timeout).await.map_err(cause_of)?;
+    let request = request_of(wire, incoming, to, hop).map_err(|_| FailureCause::NotSent)?;
+    let mut known = http.send_known(trust, request, timeout).await.map_err(failure_cause)?;
     let status = known.response.status();
     let headers = std::mem::take(known.response.headers_mut());
-    let head = wire.read_reply(status, &headers);
-    note_limit(arrived, hop.server, status, &head);
+    let head = wire.parse_reply(status, &headers);
+    record_limit(incoming, hop.server, status, &head);
     Ok(Reply { status, headers, head, known })
 }
 
-/// Sends a call of the relay's own to an engine and reads the answer, whatever its status.
+/// Sends a call of the router itself to an engine and reads the answer, whatever its status.
 ///
 /// # Errors
 ///
-/// [`CallFailure`]; only `NotSent` proves that it had no effect.
-pub async fn exchange_call(
+/// [`CallFailure`]; only `NotSent` proves that the call had no effect.
+pub async fn send_call(
     state: &RelayState,
     server: &BackendServerId,
     to: SocketAddr,
@@ -158,18 +158,18 @@
     *request.headers_mut() = call.headers;
     let response = state.http.send(Trust::Pooled, request, timeout).await?;
     let status = response.status();
-    // Only answers to requests withdraw a limit.
-    if let Some(rate) = state.wire.read_reply(status, response.headers()).limit {
-        state.limits.answered(state, server, Some(rate));
+    // Only answers to requests can withdraw a limit.
+    if let Some(rate) = state.wire.parse_reply(status, response.headers()).limit {
+        state.limits.record_answer(state, server, Some(rate));
     }
-    Ok((status, read_body(response.into_body(), WHOLE_ANSWER_BYTES, timeout).await?))
+    Ok((status, read_body(response.into_body(), BUFFERED_ANSWER_BYTES_MAX, timeout).await?))
 }
 
-/// Sends a call of the relay's own to an engine and reads the answer.
+/// Sends a call of the router itself to an engine and reads a successful answer.
 ///
 /// # Errors
 ///
-/// [`FailureCause`]; `NoRoom` where the engine refuses.
+/// [`FailureCause`]; `NoRoom` when the engine refuses for lack of capacity.
 pub async fn call(
     state: &RelayState,
     server: &BackendServerId,
@@ -177,7 +177,7 @@
     call: EngineCall,
     timeout: Duration,
 ) -> Result<Bytes, FailureCause> {
-    let (status, body) = exchange_call(state, server, to, call, timeout).await.map_err(cause_of)?;
+    let (status, body) = send_call(state, server, to, call, timeout).await.map_err(failure_cause)?;
     match status {
         StatusCode::OK => Ok(body),
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Err(FailureCause::NoRoom),
@@ -186,35 +186,39 @@
     }
 }
 
-/// Takes note of the limit that an answer states, or states no more. A failure may come from what is in front of the
-/// server, and a refusal for its id from another server: those withdraw nothing.
-fn note_limit(arrived: &Arrived, server: &BackendServerId, status: StatusCode, head: &ReplyHead) {
-    let is_its_own = status.is_success() && head.id.as_deref() == Some(arrived.call.id.as_str());
+/// Records the limit that an answer states or withdraws. A failure may come from a proxy in front of the
+/// server, and a refusal of the server id from another server; neither withdraws a limit.
+fn record_limit(incoming: &IncomingRequest, server: &BackendServerId, status: StatusCode, head: &ReplyHead) {
+    let is_its_own = status.is_success() && head.id.as_deref() == Some(incoming.call.id.as_str());
     if is_its_own || (head.limit.is_some() && status != StatusCode::MISDIRECTED_REQUEST) {
-        arrived.state.limits.answered(&arrived.state, server, head.limit);
+        incoming.state.limits.record_answer(&incoming.state, server, head.limit);
     }
 }
 
 fn request_of(
     wire: &dyn Wire,
-    arrived: &Arrived,
+    incoming: &IncomingRequest,
     to: SocketAddr,
     hop: &Hop<'_>,
 ) -> Result<Request<Full<Bytes>>, CallFailure> {
-    let mut request = Request::new(Full::new(arrived.body.clone()));
-    *request.method_mut() = arrived.method.clone();
-    *request.uri_mut() = uri(to, &arrived.path)?;
-    *request.headers_mut() = wire.hop_headers(&arrived.headers, &arrived.call, hop);
+    let mut request = Request::new(Full::new(incoming.body.clone()));
+    *request.method_mut() = incoming.method.clone();
+    *request.uri_mut() = uri(to, &incoming.path)?;
+    *request.headers_mut() = wire.hop_headers(&incoming.headers, &incoming.call, hop);
     Ok(request)
 }
 
-/// What the head of an answer proves.
+/// Classifies the head of an answer.
 ///
-/// Answers come late, twice, or with bytes of another one in front; each server echoes the id of the request, so an
-/// answer with another id belongs to another request and nothing is known of this one. A status that callers take
-/// as "has not run" counts only when the server says so itself.
-fn judge(arrived: &Arrived, status: StatusCode, head: &ReplyHead) -> Result<(), FailureCause> {
-    if head.id.as_deref() != Some(arrived.call.id.as_str()) {
+/// Answers may arrive late, twice, or behind bytes of another answer. Each server echoes the id of the
+/// request, so an answer with another id belongs to another request and proves nothing about this one. A
+/// status that callers take as "has not run" is passed on only when the server states so itself.
+fn classify_head(
+    incoming: &IncomingRequest,
+    status: StatusCode,
+    head: &ReplyHead,
+) -> Result<(), FailureCause> {
+    if head.id.as_deref() != Some(incoming.call.id.as_str()) {
         return Err(FailureCause::Broken);
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
@@ -235,7 +239,7 @@
     }
 }
 
-fn cause_of(failure: CallFailure) -> FailureCause {
+fn failure_cause(failure: CallFailure) -> FailureCause {
     match failure {
         CallFailure::NotSent => FailureCause::NotSent,
         CallFailure::Timeout => FailureCause::Timeout,
--- a/crates/router/src/relay/limits.rs
+++ b/crates/router/src/relay/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that backend servers state in their answers.
+//! Rate limits that backend servers state in their answers.
 
 use hibiscusvale_core::ids::BackendServerId;
 use hibiscusvale_core::quota::{LimitStatement, ServerLimits, UNIT};
@@ -6,32 +6,32 @@
 use hibiscusvale_core::units::{Credit, CreditPerSecond};
 use parking_lot::Mutex;
 
-use super::pace::Urgency;
+use super::pacing::Urgency;
 use super::quotas::QuotaOwner;
 use super::state::RelayState;
 use crate::clock;
 use crate::servers::Servers;
 
-/// What the servers have stated, to this daemon or to others.
+/// Limits that servers have stated to this daemon or to others.
 #[derive(Debug, Default)]
 pub struct LimitHub {
     limits: Mutex<ServerLimits>,
 }
 
 impl LimitHub {
-    /// A server answered, with a limit or without.
-    pub fn answered(&self, state: &RelayState, server: &BackendServerId, rate: Option<CreditPerSecond>) {
+    /// Records an answer of a server, with or without a limit.
+    pub fn record_answer(&self, state: &RelayState, server: &BackendServerId, rate: Option<CreditPerSecond>) {
         if self.limits.lock().answered(clock::now(), server, rate) {
-            Self::changed(state, server, rate, "answer");
-            state.peers.touch(Urgency::Soon);
+            Self::apply(state, server, rate, "answer");
+            state.peers.schedule_message(Urgency::Soon);
         }
     }
 
-    /// Takes so many requests out of a server's limit, if it states one.
+    /// Charges `requests` to a server's limit, if it states one.
     ///
     /// # Errors
     ///
-    /// The limit, and when it takes one more, where it is used up; nothing may be sent.
+    /// The limit and the time until it admits another request, when it is used up; nothing may be sent.
     pub async fn admit(
         &self,
         state: &RelayState,
@@ -46,7 +46,7 @@
         charged.map_err(|refusal| LimitReached { rate, wait_ms: refusal.retry_after_ms.unwrap_or_default() })
     }
 
-    /// The newest statement of a server.
+    /// The latest statement of a server.
     pub fn statement(&self, server: &BackendServerId) -> Option<LimitStatement> {
         self.limits.lock().statement(clock::now(), server)
     }
@@ -55,28 +55,28 @@
     pub fn merge(&self, state: &RelayState, statements: &[LimitStatement]) {
         for statement in statements {
             if self.limits.lock().merge(clock::now(), statement) {
-                Self::changed(state, &statement.server, statement.rate, "daemon");
+                Self::apply(state, &statement.server, statement.rate, "daemon");
             }
         }
     }
 
-    /// What goes into the next message to the other daemons.
+    /// Statements for the next message to the other daemons.
     pub fn gossip(&self) -> Vec<LimitStatement> {
         self.limits.lock().gossip(clock::now())
     }
 
-    /// Servers that state a limit now.
+    /// Number of servers that state a limit now.
     pub fn limited(&self) -> usize {
         self.limits.lock().limited()
     }
 
-    /// Forgets servers that are not listed any more.
+    /// Removes servers that are no longer listed.
     pub fn adopt(&self, state: &RelayState, listed: &Servers) {
         self.limits.lock().retain(|server| listed.contains_key(server));
         state.quotas.retain_servers(|server| listed.contains_key(server));
     }
 
-    fn changed(
+    fn apply(
         state: &RelayState,
         server: &BackendServerId,
         rate: Option<CreditPerSecond>,
--- a/crates/router/src/relay/loans.rs
+++ b/crates/router/src/relay/loans.rs
@@ -1,4 +1,4 @@
-//! Loans of further tries between daemons: datagrams, for one that comes late is of no use any more.
+//! Loans of retry credit between daemons. They are datagrams, since a late one is of no use.
 
 use std::net::SocketAddr;
 
@@ -10,78 +10,89 @@
 
 use super::exchange::send;
 use super::message::Datagram;
-use super::pace::Urgency;
+use super::pacing::Urgency;
 use super::state::RelayState;
 use crate::dispatch::ServiceAsk;
 
-/// A daemon asks another one for a loan.
+/// Request for a loan from another daemon.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct LoanQuestion {
-    /// Life of the daemon that asks.
+pub struct LoanRequest {
+    /// Incarnation of the requesting daemon.
     incarnation: Incarnation,
     service: String,
     number: u64,
     credit: Credit,
 }
 
-/// The answer.
+/// Reply to a loan request.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct LoanAnswer {
-    /// Life of the daemon that asked: a later one must not take the loan for its own, for it counts its questions anew.
+pub struct LoanReply {
+    /// Incarnation of the requesting daemon. A later incarnation numbers its requests anew and must not
+    /// accept the loan.
     incarnation: Incarnation,
     service: String,
     number: u64,
     credit: Credit,
-    /// What the lender has left.
+    /// Spare credit that the lender has left.
     spare: Credit,
 }
 
-/// What a daemon could lend, by service.
+/// Spare credit that a daemon can lend, by service.
 pub type Spares = Vec<(String, Credit)>;
 
-/// Sends the schedulers' questions, for as long as the daemon runs.
-pub async fn ask(socket: &UdpSocket, mut asks: mpsc::UnboundedReceiver<ServiceAsk>, state: &RelayState) {
+/// Sends the schedulers' loan requests, for as long as the daemon runs.
+pub async fn send_requests(
+    socket: &UdpSocket,
+    mut asks: mpsc::UnboundedReceiver<ServiceAsk>,
+    state: &RelayState,
+) {
     while let Some(ServiceAsk { service, ask }) = asks.recv().await {
         let Some(lender) = state.peers.address_of(&ask.lender) else {
             continue;
         };
-        let question =
-            LoanQuestion { incarnation: state.incarnation, service, number: ask.number, credit: ask.credit };
-        send(socket, lender, &Datagram::LoanQuestion(question)).await;
+        let request =
+            LoanRequest { incarnation: state.incarnation, service, number: ask.number, credit: ask.credit };
+        send(socket, lender, &Datagram::LoanRequest(request)).await;
     }
 }
 
-/// Lends what can be lent, and says so.
-pub async fn answer(socket: &UdpSocket, asker: SocketAddr, question: LoanQuestion, state: &RelayState) {
-    let LoanQuestion { incarnation, service, number, credit } = question;
+/// Lends what is available and replies.
+pub async fn handle_request(
+    socket: &UdpSocket,
+    requester: SocketAddr,
+    request: LoanRequest,
+    state: &RelayState,
+) {
+    let LoanRequest { incarnation, service, number, credit } = request;
     let lent = state.engine_hub.lend(&service, credit).or_else(|| state.plain_hub.lend(&service, credit));
     let Some((credit, spare)) = lent else {
         return;
     };
-    let answer = LoanAnswer { incarnation, service, number, credit, spare };
-    send(socket, asker, &Datagram::LoanAnswer(answer)).await;
-    // In a storm others would go on asking whoever has lent everything already.
-    state.peers.touch(Urgency::Later);
+    let reply = LoanReply { incarnation, service, number, credit, spare };
+    send(socket, requester, &Datagram::LoanReply(reply)).await;
+    // Announces the reduced spare credit: under heavy retries others would otherwise keep asking a daemon
+    // that has lent everything.
+    state.peers.schedule_message(Urgency::Later);
 }
 
-/// Takes a loan.
-pub fn take(answer: &LoanAnswer, state: &RelayState) {
-    if answer.incarnation == state.incarnation {
-        let LoanAnswer { service, number, credit, spare, .. } = answer;
+/// Adds a loan to the local credit.
+pub fn handle_reply(reply: &LoanReply, state: &RelayState) {
+    if reply.incarnation == state.incarnation {
+        let LoanReply { service, number, credit, spare, .. } = reply;
         state.engine_hub.lent(service, *number, *credit, *spare);
         state.plain_hub.lent(service, *number, *credit, *spare);
     }
 }
 
-/// What this daemon could lend.
+/// Spare credit that this daemon can lend.
 pub fn spares(state: &RelayState) -> Spares {
     let mut spares = state.engine_hub.spares();
     spares.extend(state.plain_hub.spares());
     spares
 }
 
-/// Takes what another daemon could lend.
-pub fn told(host: &HostId, spares: &Spares, state: &RelayState) {
-    state.engine_hub.told_spares(host, spares);
+/// Records the spare credit of another daemon.
+pub fn receive_spares(host: &HostId, spares: &Spares, state: &RelayState) {
+    state.engine_hub.receive_spares(host, spares);
     state.plain_hub.told_spares(host, spares);
 }
--- a/crates/router/src/relay/message.rs
+++ b/crates/router/src/relay/message.rs
@@ -1,8 +1,8 @@
-//! What the daemons tell each other: above all, what each has at the engines.
+//! Messages between daemons: above all, what each holds at the engines.
 //!
-//! Each daemon places its own requests. Without knowing the others' it would fill engines that they have filled
-//! already. Every message holds all that its sender has there, so that a lost one is mended by the next; that is why they
-//! are datagrams: a stream that went silent would hold back what is new behind what is old.
+//! Each daemon places its own requests; without the others' holdings it would pick engines that they have
+//! already filled. Messages carry all that their sender holds, so that a later one makes up for a lost one.
+//! That is why they are datagrams: a stalled stream would delay new state behind old state.
 
 use std::collections::HashMap;
 
@@ -13,89 +13,90 @@
 use serde::{Deserialize, Serialize};
 
 use super::freshness::Stamp;
-use super::loans::{LoanAnswer, LoanQuestion, Spares};
-use super::news::ServerChange;
-use super::quotas::{QuotaAnswer, QuotaQuestion, QuotaReturn};
+use super::loans::{LoanReply, LoanRequest, Spares};
+use super::quotas::{QuotaReply, QuotaRequest, QuotaReturn};
+use super::server_changes::ServerChange;
 
-/// Largest message: some hundred engines. It fits a datagram on loopback and on links of today.
+/// Maximum size of a message: several hundred engines. It fits into a UDP datagram on loopback and on current
+/// links.
 pub const MESSAGE_LIMIT_BYTES: usize = 10 << 10;
 
-/// What daemons send each other.
+/// Datagrams between daemons.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum Datagram {
-    /// What the sender knows and has.
+    /// State of the sender.
     Message(Box<Message>),
-    /// It asks for a loan of further tries.
-    LoanQuestion(LoanQuestion),
-    /// It gives one.
-    LoanAnswer(LoanAnswer),
-    /// It asks for credit of an organisation's quota.
-    QuotaQuestion(QuotaQuestion),
-    /// It grants some, or denies it.
-    QuotaAnswer(QuotaAnswer),
-    /// It gives back what it did not spend.
+    /// Request for a loan of retry credit.
+    LoanRequest(LoanRequest),
+    /// Reply to a loan request.
+    LoanReply(LoanReply),
+    /// Request for credit of a quota or server limit.
+    QuotaRequest(QuotaRequest),
+    /// Grant or denial of such credit.
+    QuotaReply(QuotaReply),
+    /// Return of unspent credit.
     QuotaReturn(QuotaReturn),
-    /// It asks for reports of crashed servers, of all requests or of those behind a fingerprint.
-    ReportQuestion(Option<Fingerprint>),
-    /// It answers with some.
+    /// Request for reports of crashed servers: all, or those after a fingerprint.
+    ReportRequest(Option<Fingerprint>),
+    /// A page of such reports.
     ReportPage(ReportPage),
 }
 
-/// What a daemon says of itself.
+/// State of a daemon.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Message {
-    /// Who says it.
+    /// Host of the sender.
     pub host: HostId,
-    /// Its data centre.
+    /// Data centre of the sender.
     pub data_centre: DataCentreId,
-    /// Its life.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// Counts its messages: an older one that comes late is passed over.
+    /// Sequence number; messages that arrive out of order are dropped.
     pub sequence: u64,
-    /// What it knows of routes and servers.
+    /// Versions and ages of its routes and servers.
     pub stamp: Stamp,
-    /// Whether it can do for all what needs the store.
+    /// Whether it can perform shared duties that need the store.
     pub reaches_store: bool,
-    /// Changes of the servers that it read just now.
+    /// Server changes that it has just read.
     pub changes: Vec<ServerChange>,
-    /// What it has at the engines, by service.
+    /// What it holds at the engines, by service.
     pub holdings: Vec<(String, Holdings)>,
-    /// What it could lend of its further tries, by service; absent where that is what it told before.
+    /// Its spare retry credit, by service; `None` if unchanged since its previous message.
     pub spares: Option<Spares>,
-    /// What it knows of requests that crash servers.
+    /// Evidence of requests that crash servers.
     pub crashes: Gossip,
-    /// Limits of servers that have changed.
+    /// Server limits that changed.
     pub limits: Vec<LimitStatement>,
 }
 
-/// One message in so many is whole: whoever missed one that was not learns the rest within some seconds.
-const WHOLE_EVERY: u64 = 4;
+/// One message in this many is complete: a daemon that missed an incremental one catches up within seconds.
+const FULL_MESSAGE_INTERVAL: u64 = 4;
 
-/// What the last messages told.
+/// State that the previous messages carried.
 #[derive(Debug, Default)]
-pub struct Told {
+pub struct AdvertisedState {
     seen: HashMap<String, Seen>,
     spares: Spares,
 }
 
-impl Told {
-    /// What the message with this number says. Most messages of hundreds of daemons are said only to be heard of; what has
-    /// not changed since the one before is left out of them.
-    pub fn news(
+impl AdvertisedState {
+    /// The holdings and spare credit for message number `sequence`. Among hundreds of daemons most messages
+    /// only serve as heartbeats; what has not changed since the previous message is left out of them.
+    pub fn delta(
         &mut self,
         sequence: u64,
         mut holdings: Vec<(String, Holdings)>,
         spares: Spares,
     ) -> (Vec<(String, Holdings)>, Option<Spares>) {
-        let is_whole = sequence % WHOLE_EVERY == 1;
+        let is_full = sequence % FULL_MESSAGE_INTERVAL == 1;
         for (service, holdings) in &mut holdings {
             let seen = holdings.seen.unwrap_or_default();
-            if self.seen.insert(service.clone(), seen) == Some(seen) && !is_whole {
+            if self.seen.insert(service.clone(), seen) == Some(seen) && !is_full {
                 holdings.seen = None;
             }
         }
-        let is_news = is_whole || spares != self.spares;
+        let is_changed = is_full || spares != self.spares;
         self.spares.clone_from(&spares);
-        (holdings, is_news.then_some(spares))
+        (holdings, is_changed.then_some(spares))
     }
 }
--- a/crates/router/src/relay/metrics.rs
+++ b/crates/router/src/relay/metrics.rs
@@ -1,4 +1,5 @@
-//! What the relay counts, by service and by a closed set of labels: routes come and go by the hundred.
+//! Metrics of relay mode, by service and by a closed set of labels; routes are not a label, since they come
+//! and go by the hundred.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,39 +10,39 @@
 use super::state::RelayState;
 use crate::metrics::{Metrics, MetricsError};
 
-/// Bounds in ms around targets of 0.15 to 0.9 s and time limits of some seconds.
+/// Histogram bounds in ms around targets of 0.15 to 0.9 s and timeouts of several seconds.
 const WAIT_BOUNDS_MS: [f64; 12] =
     [10.0, 25.0, 50.0, 100.0, 150.0, 300.0, 600.0, 900.0, 1_500.0, 3_000.0, 6_000.0, 14_000.0];
 
-/// Counters and histograms of the relay.
+/// Counters and histograms of relay mode.
 #[derive(Clone, Debug)]
 pub struct RelayMetrics {
     metrics: Metrics,
     requests: Counter<u64>,
-    turned_away: Counter<u64>,
+    rejected: Counter<u64>,
     steps: Counter<u64>,
     answer_ms: Histogram<f64>,
     first_event_ms: Histogram<f64>,
     pause_ms: Histogram<f64>,
 }
 
-/// What is counted of a request when it has ended.
+/// Measurements of a completed request.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended<'a> {
-    /// Its service.
+pub struct RequestSummary<'a> {
+    /// Service of the request.
     pub service: &'a str,
-    /// How it ended.
+    /// Outcome of the request.
     pub outcome: &'static str,
-    /// Time from its arrival to its end.
+    /// Time from arrival to end.
     pub took: Duration,
-    /// Time from its arrival to the first event of a stream.
+    /// Time from arrival to the first event of a stream; `None` if there was no event.
     pub first_event_ms: Option<u64>,
     /// Longest time between two events of a stream.
     pub longest_pause_ms: u64,
 }
 
 impl RelayMetrics {
-    /// Sets the instruments up.
+    /// Creates the instruments.
     ///
     /// # Errors
     ///
@@ -53,7 +54,7 @@
             |name: &'static str| meter.f64_histogram(name).with_boundaries(WAIT_BOUNDS_MS.to_vec()).build();
         Ok(Self {
             requests: meter.u64_counter("hibiscusvale_relay_requests").build(),
-            turned_away: meter.u64_counter("hibiscusvale_relay_turned_away").build(),
+            rejected: meter.u64_counter("hibiscusvale_relay_turned_away").build(),
             steps: meter.u64_counter("hibiscusvale_relay_steps").build(),
             answer_ms: histogram("hibiscusvale_relay_answer_ms"),
             first_event_ms: histogram("hibiscusvale_relay_first_event_ms"),
@@ -62,28 +63,28 @@
         })
     }
 
-    /// Counts a request that has ended.
-    pub fn ended(&self, ended: Ended<'_>) {
-        let service = KeyValue::new("service", ended.service.to_owned());
-        self.requests.add(1, &[service.clone(), KeyValue::new("outcome", ended.outcome)]);
-        self.answer_ms.record(millis(ended.took), std::slice::from_ref(&service));
-        if let Some(first_ms) = ended.first_event_ms {
+    /// Counts a completed request.
+    pub fn record_request(&self, summary: RequestSummary<'_>) {
+        let service = KeyValue::new("service", summary.service.to_owned());
+        self.requests.add(1, &[service.clone(), KeyValue::new("outcome", summary.outcome)]);
+        self.answer_ms.record(millis(summary.took), std::slice::from_ref(&service));
+        if let Some(first_ms) = summary.first_event_ms {
             self.first_event_ms.record(first_ms as f64, std::slice::from_ref(&service));
-            self.pause_ms.record(ended.longest_pause_ms as f64, &[service]);
+            self.pause_ms.record(summary.longest_pause_ms as f64, &[service]);
         }
     }
 
-    /// Counts a request that was refused before it was taken in.
-    pub fn turned_away(&self, reason: &'static str) {
-        self.turned_away.add(1, &[KeyValue::new("reason", reason)]);
+    /// Counts a request that was rejected before it was admitted.
+    pub fn record_rejected(&self, reason: &'static str) {
+        self.rejected.add(1, &[KeyValue::new("reason", reason)]);
     }
 
     /// Counts a step of a request at a backend server.
-    pub fn step(&self, what: &'static str, cause: &'static str) {
+    pub fn record_step(&self, what: &'static str, cause: &'static str) {
         self.steps.add(1, &[KeyValue::new("step", what), KeyValue::new("cause", cause)]);
     }
 
-    /// Has the state of the daemon read whenever somebody scrapes.
+    /// Registers gauges that read the daemon's state at every scrape.
     pub fn observe(&self, state: &Arc<RelayState>) {
         let meter = self.metrics.meter();
         observe_gauge(&meter, "hibiscusvale_relay_routes_version", state, |state| {
@@ -119,7 +120,7 @@
         });
     }
 
-    /// All metrics as text for scraping.
+    /// All metrics in the text format for scraping.
     pub fn render(&self) -> String {
         self.metrics.render()
     }
--- a/crates/router/src/relay/mod.rs
+++ b/crates/router/src/relay/mod.rs
@@ -1,28 +1,28 @@
-//! The relay: opaque requests, routed by host and path, passed on unchanged to the backend servers of a service.
+//! Relay mode: routes opaque requests by host and path and forwards them unchanged to the backend servers of
+//! a service.
 //!
-//! Decisions are those of `hibiscusvale-core`: [`hibiscusvale_core::relay`] and, for plain services, the same
-//! scheduler that serves partners' classes. What the systems around speak stands behind the traits of [`edge`].
+//! Decisions are made in `hibiscusvale-core`: by [`hibiscusvale_core::relay`] and, for plain services, by the
+//! scheduler that also serves partners' classes. The protocols of external systems are implemented behind the
+//! traits of [`interfaces`].
 
 mod budget;
 mod callers;
 mod crashes;
 mod daemon;
-pub mod edge;
+mod dependency;
 mod engine_hub;
 pub mod events;
 mod exchange;
+mod forwarding;
 mod freshness;
-mod handover;
 mod hop;
+pub mod interfaces;
 mod limits;
-mod link;
 mod loans;
 mod message;
 mod metrics;
-pub mod news;
 mod orders;
-pub mod pace;
-mod passing;
+pub mod pacing;
 mod peers;
 mod persistence;
 mod plain;
@@ -30,12 +30,14 @@
 mod quarantine;
 mod quotas;
 mod refusal;
+pub mod server_changes;
 mod settings;
 mod state;
+mod state_transfer;
 mod status;
-mod story;
 mod stream;
+mod trace;
 mod watch;
 
-pub use daemon::{RelayDaemon, RelayEdges};
+pub use daemon::{RelayAdapters, RelayDaemon};
 pub use settings::RelaySettings;
--- a/crates/router/src/relay/orders.rs
+++ b/crates/router/src/relay/orders.rs
@@ -1,9 +1,10 @@
-//! Orders to engines: one daemon at a time gives them, under a lease.
+//! Role-change orders to engines: one daemon at a time gives them, under a lease.
 //!
-//! Two daemons that ordered the same engines back and forth would keep them changing instead of serving. Which daemon
-//! is to give orders follows from who lives; that is only a way to keep the others from asking. What decides is the
-//! lease, a record in the store whose offset is the fencing number. It is taken when there is something to order and
-//! left to run out, so an installation at rest costs no call.
+//! Two daemons that ordered the same engines back and forth would keep them switching roles instead of
+//! serving. Which daemon should give orders follows from the live set, but that only keeps the others from
+//! competing for the lease. The lease decides: a record in the store whose offset is the fencing number. It
+//! is acquired when there is something to order and then left to expire, so an idle installation makes no
+//! calls.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,28 +17,29 @@
 use hibiscusvale_core::units::{Millis, MonoTime};
 use http::StatusCode;
 
-use super::edge::EngineOrder;
 use super::hop;
-use super::pace::Urgency;
+use super::interfaces::EngineOrder;
+use super::pacing::Urgency;
 use super::state::RelayState;
 use crate::clock;
 use crate::external::{AppendError, Log, LogFailure, Stream};
 
-/// Engines of a service that are ordered in one go. One at a time, nine idle readers of 38 engines were writers only 18 s
-/// after the split was known to be wrong, and callers were refused meanwhile.
+/// Maximum number of orders per service and tick. With one at a time, nine idle prefill engines of 38 engines
+/// became decode engines only 18 s after the split was known to be wrong, and callers were refused meanwhile.
 const ORDERS_AT_ONCE: usize = 4;
 
-/// Time between two looks at the split.
-const TICK: Duration = Duration::from_secs(1);
+/// Interval between two checks of the role split.
+const TICK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time for an engine's report, and for its answer to an order.
+/// Timeout of an engine's report and of its answer to an order.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Records read at once; there are a few a day.
-const READ_LIMIT: u32 = 256;
+/// Page size of log reads; there are only a few records a day.
+const READ_PAGE_RECORDS: u32 = 256;
 
-/// Bounds of the lease. An order is on its way for no longer than its call may take, and a successor waits that out
-/// after the lease; both together are longer than the time in which engines take turns of holders for a fault.
+/// Bounds of the lease. An order is in flight for no longer than its call may take, and a successor waits
+/// that long after the lease ends; both together are longer than the time in which engines treat alternating
+/// holders as a fault.
 const LEASE: LeaseSettings = LeaseSettings {
     lease_ms: Millis(6_000),
     renew_before_ms: Millis(2_000),
@@ -46,7 +48,7 @@
     retry_ms: Millis(1_000),
 };
 
-/// Gives orders, when it is this daemon's turn.
+/// Gives orders when this daemon is the one that should.
 #[derive(Debug)]
 pub struct Orders {
     log: Arc<dyn Log>,
@@ -54,38 +56,40 @@
     host: HostId,
     lease: Lease,
     fold: LeaseFold,
-    /// Whether the lease's records were read to their end.
+    /// Whether the lease records were read to their end.
     has_read: bool,
-    /// When they first were, if there had been any.
-    waits_from_us: Option<MonoTime>,
+    /// Start of the takeover wait: the time of the first read that found the log non-empty; `None` before
+    /// that.
+    takeover_wait_from_us: Option<MonoTime>,
 }
 
 impl Orders {
-    /// The orders of one daemon's life, over the engines that `scope` names.
+    /// Orders of one daemon process over the engines of the lease `scope`.
     pub fn new(log: Arc<dyn Log>, state: Arc<RelayState>, host: HostId, scope: DataCentreId) -> Self {
         let me = LeaseHolder { host: host.clone(), incarnation: state.incarnation };
         let (lease, fold) = (Lease::new(LEASE, scope, me), LeaseFold::default());
-        Self { log, state, host, lease, fold, has_read: false, waits_from_us: None }
+        Self { log, state, host, lease, fold, has_read: false, takeover_wait_from_us: None }
     }
 
-    /// Looks again and again, for as long as the daemon runs.
+    /// Checks the role split at every tick, for as long as the daemon runs.
     pub async fn run(mut self) {
         loop {
-            tokio::time::sleep(TICK).await;
-            self.look().await;
+            tokio::time::sleep(TICK_INTERVAL).await;
+            self.tick().await;
         }
     }
 
-    async fn look(&mut self) {
-        let live = self.state.peers.hosts_at_store();
-        let is_turn = self.state.freshness.reaches_store(clock::now());
-        let one = ReadingSettings { readers: 1, ..ReadingSettings::default() };
-        let is_turn = is_turn && self.state.peers.is_first_data_centre();
-        if !is_turn || !is_reader(&one, &self.host, live.iter()) || !self.state.is_ready() {
+    async fn tick(&mut self) {
+        let live = self.state.peers.hosts_reaching_store();
+        let is_eligible = self.state.freshness.reaches_store(clock::now());
+        let single_reader = ReadingSettings { readers: 1, ..ReadingSettings::default() };
+        let is_eligible = is_eligible && self.state.peers.is_first_data_centre();
+        if !is_eligible || !is_reader(&single_reader, &self.host, live.iter()) || !self.state.is_ready() {
             return;
         }
-        // An earlier holder's time is waited out from the first look on: begun only when there is something to order, the
-        // wait would keep a wrong split for its ten seconds.
+        // The lease is read on the first tick, so that an earlier holder's term is waited out from then on.
+        // If that began only when there is something to order, a wrong split would persist for the ten
+        // seconds of the wait.
         if !self.has_read && self.read().await.is_err() {
             return;
         }
@@ -95,23 +99,24 @@
                 return;
             }
             for (service, shift) in shifts {
-                let Some(held) = self.held().await else {
+                let Some(held) = self.acquire_lease().await else {
                     return;
                 };
-                self.give(held, &service, &shift).await;
+                self.send_order(held, &service, &shift).await;
             }
         }
     }
 
-    /// The lease, if it can be had.
-    async fn held(&mut self) -> Option<HeldLease> {
+    /// Returns the lease if it is held or can be acquired.
+    async fn acquire_lease(&mut self) -> Option<HeldLease> {
         if let Some(held) = self.lease.held(clock::now()) {
             return Some(held);
         }
         self.read().await.ok()?;
-        // Records are kept for a while only. Where there have been any, an earlier holder may still act whose record
-        // is gone: its time is waited out from the first look on.
-        let waits = self.waits_from_us.is_some_and(|from_us| clock::now() < from_us + LEASE.takeover_ms());
+        // Records are retained only for a while. If there have been any, an earlier holder whose record is
+        // gone may still act, so its term is waited out from the first read on.
+        let waits =
+            self.takeover_wait_from_us.is_some_and(|from_us| clock::now() < from_us + LEASE.takeover_ms());
         if waits {
             return None;
         }
@@ -129,18 +134,18 @@
     }
 
     async fn append(&self, record: &LeaseRecord) -> Result<(), AppendError> {
-        // Writing plain data to memory has no way to fail; an empty record is passed over by every reader.
+        // Serialising plain data to memory cannot fail; readers skip an empty record.
         let bytes = postcard::to_stdvec(record).unwrap_or_default();
         self.log.append(Stream::Leases, vec![Bytes::from(bytes)]).await.map(drop)
     }
 
-    /// Reads the lease's records; when that fails, another daemon is to give the orders.
+    /// Reads the lease records; when that fails, leaves the orders to another daemon.
     async fn read(&mut self) -> Result<(), LogFailure> {
         let read = self.read_log().await;
         if let Err(failure) = &read {
             self.state.log.changed("lease not read", failure);
             self.state.freshness.store_failed(clock::now());
-            self.state.peers.touch(Urgency::Soon);
+            self.state.peers.schedule_message(Urgency::Soon);
         }
         read
     }
@@ -148,9 +153,9 @@
     async fn read_log(&mut self) -> Result<(), LogFailure> {
         loop {
             let from = self.fold.next();
-            let page = self.log.read(Stream::Leases, from, READ_LIMIT, Millis::ZERO).await?;
-            if self.waits_from_us.is_none() && page.next_offset.0 > 0 {
-                self.waits_from_us = Some(clock::now());
+            let page = self.log.read(Stream::Leases, from, READ_PAGE_RECORDS, Millis::ZERO).await?;
+            if self.takeover_wait_from_us.is_none() && page.next_offset.0 > 0 {
+                self.takeover_wait_from_us = Some(clock::now());
             }
             self.fold.skip_to(page.start_offset);
             for record in &page.records {
@@ -164,25 +169,25 @@
         }
     }
 
-    /// Orders one engine. Its report tells how many orders it has accepted; the order holds only for that number, so
-    /// that one whose answer was lost cannot be carried out a second time behind a later one.
-    async fn give(&mut self, held: HeldLease, service: &str, shift: &Shift) {
+    /// Orders one engine. The engine's report states how many orders it has accepted, and the order is valid
+    /// only for that number, so that one whose answer was lost cannot be executed again after a later one.
+    async fn send_order(&mut self, held: HeldLease, service: &str, shift: &Shift) {
         let state = Arc::clone(&self.state);
         let Some(at) = state.directory.address_of(&shift.server) else {
             return;
         };
         let report =
-            hop::exchange_call(&state, &shift.server, at, state.wire.report(&shift.server), CALL_TIMEOUT)
-                .await;
+            hop::send_call(&state, &shift.server, at, state.wire.report(&shift.server), CALL_TIMEOUT).await;
         let report = report.ok().filter(|(status, _)| *status == StatusCode::OK);
-        let Some(report) = report.and_then(|(_, body)| state.wire.read_report(&body)) else {
+        let Some(report) = report.and_then(|(_, body)| state.wire.parse_report(&body)) else {
             return;
         };
         if report.is_busy || report.role == Some(shift.role) {
             state.engine_hub.shifted(service, shift);
             return;
         }
-        // The process may have been suspended since: the lease is looked at just before the order goes out.
+        // The process may have been suspended since, so the lease is checked again just before the order is
+        // sent.
         let Some(held) = self.lease.held(clock::now()).filter(|now| now.fencing == held.fencing) else {
             return;
         };
@@ -193,15 +198,15 @@
             after_orders: report.orders,
         };
         let call = state.wire.order(&shift.server, &order);
-        let answer = hop::exchange_call(&state, &shift.server, at, call, CALL_TIMEOUT).await;
+        let answer = hop::send_call(&state, &shift.server, at, call, CALL_TIMEOUT).await;
         let status = answer.map(|(status, _)| status);
         state.log.ordered(&shift.server, role_label(shift.role), order.fencing, &describe(status));
         match status {
             Ok(StatusCode::PRECONDITION_FAILED) => self.lease = self.lease.fresh(),
-            // A conflict means that something else is under way there; no answer, that it may be.
+            // A conflict means that the engine is executing something else; a failed call, that it may be.
             Ok(StatusCode::ACCEPTED | StatusCode::OK | StatusCode::CONFLICT) | Err(_) => {
                 state.engine_hub.shifted(service, shift);
-                state.peers.touch(Urgency::Soon);
+                state.peers.schedule_message(Urgency::Soon);
             }
             Ok(_) => {}
         }
--- /dev/null
+++ b/crates/router/src/relay/pacing.rs
@@ -0,0 +1,97 @@
+//! When this daemon sends messages to the others, and how often it reads theirs.
+//!
+//! Each request to a model changes what a daemon holds at the engines five times, and each change goes to all
+//! other daemons. With hundreds of daemons, every host would spend its share of a core on sending and
+//! receiving, most of all in a burst, and callers would wait. So changes that happen close together are
+//! batched, changes that nobody waits for go with the next message, and the interval between messages grows
+//! with the number of recipients.
+
+use std::time::Duration;
+
+use parking_lot::Mutex;
+use tokio::sync::Notify;
+use tokio::time::Instant;
+
+/// How soon the other daemons need to learn of a change.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub enum Urgency {
+    /// A slot was taken or released: other daemons choose engines by it.
+    Soon,
+    /// A further step of a request that keeps its slot.
+    Later,
+}
+
+impl Urgency {
+    fn window(self) -> Duration {
+        match self {
+            Self::Soon => BATCH_WINDOW,
+            Self::Later => BATCH_WINDOW_LATER,
+        }
+    }
+}
+
+/// Batching window of changes. It is short compared with the duration of a prefill, within which a wrong
+/// choice of engine could still be corrected.
+const BATCH_WINDOW: Duration = Duration::from_millis(3);
+
+/// Batching window of changes that do not affect the choices of others. A completed prefill is followed by
+/// the first event of the answer within this time.
+const BATCH_WINDOW_LATER: Duration = Duration::from_millis(30);
+
+/// Maximum interval between two messages; losing three in a row is rare.
+const MESSAGE_INTERVAL_MAX: Duration = Duration::from_millis(700);
+
+/// Minimum interval between two messages, per recipient: a hundred daemons each get at most forty messages a
+/// second.
+const SEND_INTERVAL_PER_DAEMON: Duration = Duration::from_micros(250);
+
+/// Batching time of received messages, per sender. It is shorter than the interval between the messages of
+/// one sender.
+const RECEIVE_PAUSE_PER_DAEMON: Duration = Duration::from_micros(50);
+
+/// Shortest pause that is made; timers are not finer.
+const RECEIVE_PAUSE_MIN: Duration = Duration::from_millis(1);
+
+/// Schedules the messages to the other daemons.
+#[derive(Debug, Default)]
+pub struct MessagePacer {
+    wanted: Mutex<Option<Instant>>,
+    rescheduled: Notify,
+}
+
+impl MessagePacer {
+    /// Schedules a message for a change that the others need to learn of.
+    pub fn schedule(&self, now: Instant, urgency: Urgency) {
+        let at = now + urgency.window();
+        let mut wanted = self.wanted.lock();
+        if wanted.is_none_or(|known| at < known) {
+            *wanted = Some(at);
+            self.rescheduled.notify_one();
+        }
+    }
+
+    /// Waits until a message is due after the one sent at `last`, with `daemons` recipients.
+    pub async fn due(&self, last: Instant, daemons: u32) {
+        loop {
+            let wanted = *self.wanted.lock();
+            let at = next_send_at(wanted, last, daemons);
+            tokio::select! {
+                () = tokio::time::sleep_until(at) => break,
+                () = self.rescheduled.notified() => {}
+            }
+        }
+        *self.wanted.lock() = None;
+    }
+}
+
+/// Time of the next message after the one sent at `last`, if one is `wanted` at some time.
+pub fn next_send_at(wanted: Option<Instant>, last: Instant, daemons: u32) -> Instant {
+    let latest = last + MESSAGE_INTERVAL_MAX;
+    wanted.map_or(latest, |wanted| wanted.min(latest)).max(last + SEND_INTERVAL_PER_DAEMON * daemons)
+}
+
+/// Pause after reading messages of `daemons` senders, so that one read takes several; `None` where a pause
+/// would be too short.
+pub fn receive_pause(daemons: u32) -> Option<Duration> {
+    Some(RECEIVE_PAUSE_PER_DAEMON * daemons).filter(|pause| *pause >= RECEIVE_PAUSE_MIN)
+}
--- a/crates/router/src/relay/persistence.rs
+++ b/crates/router/src/relay/persistence.rs
@@ -1,4 +1,5 @@
-//! Evidence against requests in quarantine, saved on the platform for when all daemons end at once.
+//! Persistence of the evidence against quarantined requests on the platform, for when all daemons end at
+//! once.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,69 +8,73 @@
 use hibiscusvale_core::units::Millis;
 use tokio::sync::mpsc;
 
-use super::edge::{EvidenceStore, SavedEvidence};
-use super::link::Link;
+use super::dependency::Dependency;
+use super::interfaces::{EvidenceStore, SavedEvidence};
 use super::state::RelayState;
 use crate::clock;
 
 /// Pause after a failed call.
-const RETRY: Duration = Duration::from_secs(1);
+const RETRY_PAUSE: Duration = Duration::from_secs(1);
 
-/// Records whose evidence has become old that one daemon removes when it starts.
-const REMOVED_MAX: usize = 8;
+/// Maximum number of expired records that one daemon removes when it starts.
+const EXPIRED_REMOVED_MAX: usize = 8;
 
-/// Restores what was saved, and saves what comes, for as long as the daemon runs.
+/// Restores saved evidence and saves new evidence, for as long as the daemon runs.
 pub async fn run(
     store: Arc<dyn EvidenceStore>,
-    due: mpsc::UnboundedReceiver<Fingerprint>,
+    to_save: mpsc::UnboundedReceiver<Fingerprint>,
     state: Arc<RelayState>,
 ) {
-    tokio::join!(restore(&*store, &state), save(&*store, due, &state));
+    tokio::join!(restore(&*store, &state), save(&*store, to_save, &state));
 }
 
 async fn restore(store: &dyn EvidenceStore, state: &RelayState) {
-    let mut link = Link::new("evidence not restored", "saved evidence is read again");
+    let mut dependency = Dependency::new("evidence not restored", "saved evidence is read again");
     let saved = loop {
         match store.load().await {
             Ok(saved) => break saved,
-            Err(failure) => link.lost(state, &failure),
+            Err(failure) => dependency.report_failure(state, &failure),
         }
-        tokio::time::sleep(RETRY).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     };
-    link.regained(state);
+    dependency.report_success(state);
     state.log.changed("evidence restored", &saved.len());
-    let mut old = Vec::new();
+    let mut expired = Vec::new();
     for evidence in saved {
         let fingerprint = evidence.fingerprint;
         if !state.quarantine.restore(state, evidence) {
-            old.push(fingerprint);
+            expired.push(fingerprint);
         }
     }
-    for fingerprint in old.into_iter().take(REMOVED_MAX) {
-        // A record that stays is removed by a daemon that starts later.
+    for fingerprint in expired.into_iter().take(EXPIRED_REMOVED_MAX) {
+        // A record whose removal fails is removed by a daemon that starts later.
         let _ = store.remove(fingerprint).await;
     }
 }
 
-async fn save(store: &dyn EvidenceStore, mut due: mpsc::UnboundedReceiver<Fingerprint>, state: &RelayState) {
-    let mut link = Link::new("evidence not saved", "evidence is saved again");
-    while let Some(fingerprint) = due.recv().await {
+async fn save(
+    store: &dyn EvidenceStore,
+    mut to_save: mpsc::UnboundedReceiver<Fingerprint>,
+    state: &RelayState,
+) {
+    let mut dependency = Dependency::new("evidence not saved", "evidence is saved again");
+    while let Some(fingerprint) = to_save.recv().await {
         while let Some(evidence) = state.quarantine.evidence(fingerprint) {
             match store.save(evidence).await {
                 Ok(()) => {
-                    link.regained(state);
+                    dependency.report_success(state);
                     state.log.changed("evidence saved", &fingerprint);
                     break;
                 }
-                Err(failure) => link.lost(state, &failure),
+                Err(failure) => dependency.report_failure(state, &failure),
             }
-            tokio::time::sleep(RETRY).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 }
 
 impl SavedEvidence {
-    /// The same with the time that has passed since added to the ages.
+    /// Adds the time since saving to the age of each report.
     pub(super) fn aged(mut self) -> Self {
         let passed_ms = Millis(clock::unix_ms().saturating_sub(self.saved_unix_ms));
         for report in &mut self.reports {
--- a/crates/router/src/relay/plain.rs
+++ b/crates/router/src/relay/plain.rs
@@ -1,4 +1,4 @@
-//! One request for a plain service.
+//! Execution of a request to a plain service.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -10,19 +10,20 @@
 use hibiscusvale_core::units::Millis;
 use http::Response;
 
-use super::crashes::{self, Sending};
-use super::edge::Task;
-use super::hop::{self, WholeReply};
+use super::crashes::{self, Attempt};
+use super::hop::{self, BufferedReply};
+use super::interfaces::Task;
 use super::refusal::{Reason, Refusal};
 use super::state::{Incoming, RelayState};
-use super::story::Step;
+use super::trace::Step;
 use crate::backend::Trust;
 use crate::callers::AnswerBody;
 
-/// Part of its time that a request may wait for an instance: the rest is for its answer.
-const PATIENCE_DIVISOR: u64 = 4;
+/// Divisor of a request's remaining time: the quotient is the maximum queueing time, the rest is left for the
+/// answer.
+const QUEUE_WAIT_DIVISOR: u64 = 4;
 
-/// Runs a request; its caller gets the server's answer or a refusal.
+/// Runs a request; the caller gets the server's answer or a refusal.
 ///
 /// # Errors
 ///
@@ -35,8 +36,8 @@
     let mut open =
         state.plain_hub.arrive(incoming.service.as_str(), arrival).ok_or(Refusal::new(Reason::NoServer))?;
     let request_id = incoming.request_id;
-    // The answer of a server that failed, which the caller gets when there is no better one.
-    let mut failed: Option<WholeReply> = None;
+    // The answer of a failed server; the caller gets it if no other attempt succeeds.
+    let mut failed: Option<BufferedReply> = None;
     let mut may_have_run = false;
     let mut refused = pin!(state.quarantine.refused(incoming.fingerprint));
     loop {
@@ -51,15 +52,15 @@
         match action {
             PlainAction::Dispatch { server, timeout_ms, fresh_connection, .. } => {
                 let trust = if fresh_connection { Trust::Fresh } else { Trust::Pooled };
-                let tried = attempt(state, incoming, server.clone(), timeout_ms, trust).await;
-                match &tried {
-                    Ok(_) => incoming.note(Step::Answered, &server),
+                let result = run_attempt(state, incoming, server.clone(), timeout_ms, trust).await;
+                match &result {
+                    Ok(_) => incoming.record_step(Step::Answered, &server),
                     Err(cause) => {
                         may_have_run |= cause.may_have_run();
-                        incoming.note(Step::Failed(*cause), &server);
+                        incoming.record_step(Step::Failed(*cause), &server);
                     }
                 }
-                match tried {
+                match result {
                     Ok(reply) if reply.status.is_server_error() && is_repeatable(incoming) => {
                         may_have_run = true;
                         failed = Some(reply);
@@ -67,7 +68,7 @@
                     }
                     Ok(reply) => {
                         if reply.status.is_success() {
-                            crashes::survived(incoming);
+                            crashes::record_survival(incoming);
                         }
                         open.feed(PlainEvent::Done { request_id });
                         return Ok(reply.into_response(&*state.wire));
@@ -92,27 +93,27 @@
 fn arrival_of(incoming: &Incoming) -> PlainArrival {
     PlainArrival {
         request_id: incoming.request_id,
-        partner: callers(),
+        partner: shared_partner(),
         repeatable: is_repeatable(incoming),
         attempts_max: incoming.route.attempts_max,
-        patience_ms: Millis(incoming.left_ms().0 / PATIENCE_DIVISOR),
+        patience_ms: Millis(incoming.left_ms().0 / QUEUE_WAIT_DIVISOR),
     }
 }
 
-/// All callers of routes share queues and budgets: routes know no partners.
-fn callers() -> PartnerId {
-    "callers".parse().expect("the name is in order")
+/// All callers share queues and budgets: plain services are not scheduled by partner.
+fn shared_partner() -> PartnerId {
+    "callers".parse().expect("the literal is a valid partner id")
 }
 
-/// One try. What may not be repeated runs to its end although its caller has left: broken off, nobody could tell
-/// whether it ran.
-async fn attempt(
+/// Makes one attempt. A request that must not be repeated runs to its end even if its caller leaves: if it
+/// were aborted, its outcome would be unknown.
+async fn run_attempt(
     state: &Arc<RelayState>,
     incoming: &Arc<Incoming>,
     server: BackendServerId,
     timeout_ms: Millis,
     trust: Trust,
-) -> Result<WholeReply, FailureCause> {
+) -> Result<BufferedReply, FailureCause> {
     let left = incoming.left();
     if is_repeatable(incoming) {
         return exchange(state, incoming, &server, trust, left.min(Duration::from(timeout_ms))).await;
@@ -128,19 +129,19 @@
     server: &BackendServerId,
     trust: Trust,
     timeout: Duration,
-) -> Result<WholeReply, FailureCause> {
+) -> Result<BufferedReply, FailureCause> {
     let to = state.directory.address_of(server).ok_or(FailureCause::NotSent)?;
     if let Err(reached) = state.limits.admit(state, server, 1).await {
         state.plain_hub.limited(server, reached);
         return Err(FailureCause::Limited);
     }
     let hop = incoming.hop(server, Task::Run);
-    let sending = Sending::new(server, to);
+    let attempt = Attempt::new(server, to);
     let reply = hop::send(&state.http, &*state.wire, incoming, to, &hop, trust, timeout).await;
     let reply = match reply {
         Ok(reply) => reply,
         Err(cause) => {
-            crashes::check(incoming, &sending, cause).await;
+            crashes::check_for_crash(incoming, &attempt, cause).await;
             if cause == FailureCause::Leaving {
                 state.plain_hub.sign(server, Sign::Leaving);
             }
@@ -150,9 +151,9 @@
     if let Some(load) = reply.head.load {
         state.plain_hub.load(server, load.running + load.waiting, load.slots);
     }
-    let whole = reply.whole(timeout).await;
-    if let Err(cause) = &whole {
-        crashes::check(incoming, &sending, *cause).await;
+    let buffered = reply.into_buffered(timeout).await;
+    if let Err(cause) = &buffered {
+        crashes::check_for_crash(incoming, &attempt, *cause).await;
     }
-    whole
+    buffered
 }
--- a/crates/router/src/relay/probe.rs
+++ b/crates/router/src/relay/probe.rs
@@ -1,4 +1,4 @@
-//! Looking whether a server takes connections.
+//! Probes whether a server accepts connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,21 +6,21 @@
 
 use tokio::net::TcpStream;
 
-/// Many round trips inside a region.
+/// Connect timeout: many round trips inside a region.
 const TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What an attempt to connect shows.
+/// Result of a probe.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Probe {
-    /// The server takes connections.
+    /// The server accepts connections.
     Accepts,
-    /// Its host refuses them: the process is gone.
+    /// The host refuses connections: the server process is gone.
     Refuses,
-    /// Nothing: the attempt timed out or failed on its way.
+    /// Inconclusive: the attempt timed out or failed on the way.
     Unreachable,
 }
 
-/// Attempts to connect to `address`.
+/// Attempts a connection to `address`.
 pub async fn probe(address: SocketAddr) -> Probe {
     match tokio::time::timeout(TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(_)) => Probe::Accepts,
--- a/crates/router/src/relay/quarantine.rs
+++ b/crates/router/src/relay/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash servers: the evidence of this daemon and its exchange with the others.
+//! Quarantine of requests that crash servers: this daemon's evidence and its exchange with other daemons.
 
 use hibiscusvale_core::ids::{BackendServerId, Incarnation};
 use hibiscusvale_core::quarantine::{
@@ -8,32 +8,32 @@
 use parking_lot::Mutex;
 use tokio::sync::{mpsc, watch};
 
-use super::edge::SavedEvidence;
+use super::interfaces::SavedEvidence;
 use super::message::Datagram;
-use super::pace::Urgency;
+use super::pacing::Urgency;
 use super::refusal::{Reason, Refusal};
 use super::state::RelayState;
 use crate::clock;
 
-/// The evidence of this daemon, shared by all its requests.
+/// Crash evidence, shared by all requests of this daemon.
 #[derive(Debug)]
 pub struct QuarantineHub {
     quarantine: Mutex<Quarantine>,
-    /// Counts the verdicts; requests that wait for a server look again with each.
+    /// Number of verdicts so far; requests waiting for a server check again at each change.
     verdicts: watch::Sender<u64>,
-    /// Requests whose evidence is to be saved.
-    save: mpsc::UnboundedSender<Fingerprint>,
+    /// Queue of requests whose evidence is to be saved.
+    to_save: mpsc::UnboundedSender<Fingerprint>,
 }
 
 impl QuarantineHub {
-    /// No evidence, and the end where requests come out whose evidence is to be saved.
+    /// A hub without evidence, and the receiver of requests whose evidence is to be saved.
     pub fn new(incarnation: Incarnation) -> (Self, mpsc::UnboundedReceiver<Fingerprint>) {
         let quarantine = Quarantine::new(QuarantineSettings::default(), incarnation);
-        let (save, due) = mpsc::unbounded_channel();
-        (Self { quarantine: Mutex::new(quarantine), verdicts: watch::Sender::new(0), save }, due)
+        let (to_save, receiver) = mpsc::unbounded_channel();
+        (Self { quarantine: Mutex::new(quarantine), verdicts: watch::Sender::new(0), to_save }, receiver)
     }
 
-    /// The evidence against a request in quarantine, for saving it.
+    /// The evidence against a request, for saving; `None` unless it is quarantined.
     pub fn evidence(&self, fingerprint: Fingerprint) -> Option<SavedEvidence> {
         let quarantine = self.quarantine.lock();
         quarantine.is_quarantined(fingerprint).then(|| SavedEvidence {
@@ -43,7 +43,7 @@
         })
     }
 
-    /// Takes evidence that was saved; returns whether any of it still counts.
+    /// Restores saved evidence; returns whether any of it is still valid.
     pub fn restore(&self, state: &RelayState, evidence: SavedEvidence) -> bool {
         let fingerprint = evidence.fingerprint;
         let verdicts = self.quarantine.lock().restore(clock::now(), evidence.aged().reports);
@@ -51,7 +51,7 @@
         self.is_suspect(fingerprint)
     }
 
-    /// Refuses a request that is in quarantine.
+    /// Refuses a quarantined request.
     ///
     /// # Errors
     ///
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Waits until a request is in quarantine, for ever if it never is.
+    /// Waits until the request is quarantined; never returns if it is not.
     pub async fn refused(&self, fingerprint: Fingerprint) -> Refusal {
         let mut verdicts = self.verdicts.subscribe();
         loop {
@@ -81,12 +81,12 @@
         self.quarantine.lock().is_suspect(fingerprint)
     }
 
-    /// Requests with evidence against them, and those of them in quarantine.
+    /// Number of requests with evidence against them, and how many of those are quarantined.
     pub fn counts(&self) -> (usize, usize) {
         self.quarantine.lock().counts()
     }
 
-    /// A server crashed that had the request.
+    /// Records that a server crashed under the request.
     pub fn crashed(
         &self,
         state: &RelayState,
@@ -96,22 +96,22 @@
     ) {
         let verdicts = self.quarantine.lock().crashed(clock::now(), fingerprint, server, in_flight_ms);
         self.publish(state, &verdicts);
-        state.peers.touch(Urgency::Soon);
+        state.peers.schedule_message(Urgency::Soon);
     }
 
-    /// A server has run the request and lives.
+    /// Records that a server ran the request and survived.
     pub fn survived(&self, state: &RelayState, fingerprint: Fingerprint) {
         let mut quarantine = self.quarantine.lock();
-        let is_news = quarantine.is_suspect(fingerprint);
+        let is_suspect = quarantine.is_suspect(fingerprint);
         let verdicts = quarantine.survived(clock::now(), fingerprint);
         drop(quarantine);
-        if is_news {
+        if is_suspect {
             self.publish(state, &verdicts);
-            state.peers.touch(Urgency::Soon);
+            state.peers.schedule_message(Urgency::Soon);
         }
     }
 
-    /// What goes into the next message to the other daemons.
+    /// Evidence for the next message to the other daemons.
     pub fn gossip(&self, state: &RelayState) -> Gossip {
         let now_us = clock::now();
         let mut quarantine = self.quarantine.lock();
@@ -122,34 +122,34 @@
         gossip
     }
 
-    /// Takes what came with a message of another daemon; returns what to send it.
+    /// Merges evidence from another daemon's message; returns a reply to it, if any.
     pub fn receive(&self, state: &RelayState, gossip: Gossip) -> Option<Datagram> {
         let received = self.quarantine.lock().receive(clock::now(), gossip);
-        self.take(state, &received)
+        self.apply(state, &received)
     }
 
-    /// Takes a page of another daemon's reports; returns what to send it.
+    /// Merges a page of another daemon's reports; returns a reply to it, if any.
     pub fn receive_page(&self, state: &RelayState, page: ReportPage) -> Option<Datagram> {
         let received = self.quarantine.lock().receive_page(clock::now(), page);
-        self.take(state, &received)
+        self.apply(state, &received)
     }
 
-    /// The answer to a daemon that asks for the reports behind a fingerprint.
+    /// The page of reports after a fingerprint, for a daemon that requests it.
     pub fn page(&self, after: Option<Fingerprint>) -> Datagram {
         Datagram::ReportPage(self.quarantine.lock().page(clock::now(), after))
     }
 
-    fn take(&self, state: &RelayState, received: &Received) -> Option<Datagram> {
+    fn apply(&self, state: &RelayState, received: &Received) -> Option<Datagram> {
         self.publish(state, &received.verdicts);
-        received.ask.map(Datagram::ReportQuestion)
+        received.ask.map(Datagram::ReportRequest)
     }
 
     fn publish(&self, state: &RelayState, verdicts: &[Verdict]) {
         for verdict in verdicts {
             state.log.quarantine_changed(verdict);
             if verdict.is_quarantined && verdict.is_reporter {
-                // While the daemon stops nobody receives it any more; the other daemons have the evidence.
-                let _ = self.save.send(verdict.fingerprint);
+                // The receiver is gone only while the daemon stops; the other daemons have the evidence.
+                let _ = self.to_save.send(verdict.fingerprint);
             }
         }
         if !verdicts.is_empty() {
--- a/crates/router/src/relay/quotas.rs
+++ b/crates/router/src/relay/quotas.rs
@@ -1,8 +1,8 @@
-//! Quotas of organisations and limits of servers: credit is leased before a request is passed on, and granted to daemons
-//! that ask for it.
+//! Quotas of organisations and rate limits of servers: credit is leased before a request is forwarded, and
+//! granted to daemons that request it.
 //!
-//! The decisions are those of [`hibiscusvale_core::quota`]. Questions and answers are datagrams: one that comes late is of no
-//! use any more, and a question that got no answer is asked again.
+//! Decisions are made in [`hibiscusvale_core::quota`]. Requests and replies are datagrams: a late one is of
+//! no use, and a request without a reply is repeated.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,21 +25,22 @@
 use super::state::RelayState;
 use crate::clock;
 
-/// How long each question waits for its answer: several round trips in a region. The sum is short beside the target of a page.
-const ANSWER_TIMEOUTS: [Duration; 4] = [
+/// Timeout of each attempt: several round trips in a region. The sum is short compared with the latency
+/// target of a page.
+const REPLY_TIMEOUTS: [Duration; 4] = [
     Duration::from_millis(12),
     Duration::from_millis(15),
     Duration::from_millis(20),
     Duration::from_millis(25),
 ];
 
-/// Retry-After when no daemon answers: membership shows soon after who is gone.
+/// Retry-After when no daemon replies: the membership soon shows which daemons are gone.
 const UNKNOWN_RETRY_MS: Millis = Millis(500);
 
-/// Longest time for which a denial is remembered: credit may come back sooner than was expected.
-const DENIAL_MS_MAX: Millis = Millis(100);
+/// Maximum time for which a denial is cached: credit may be returned sooner than expected.
+const DENIAL_CACHE_MS_MAX: Millis = Millis(100);
 
-/// Whose credit is granted and leased.
+/// Owner of the credit that is granted and leased.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, Deserialize, Serialize)]
 pub enum QuotaOwner {
     /// An organisation with a quota.
@@ -57,35 +58,36 @@
     }
 }
 
-/// A daemon asks for credit.
+/// Request for credit from another daemon.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct QuotaQuestion {
-    /// Life of the daemon that asks: a later one counts its questions anew.
+pub struct QuotaRequest {
+    /// Incarnation of the requesting daemon; a later incarnation numbers its requests anew.
     incarnation: Incarnation,
     number: u64,
     owner: QuotaOwner,
     needs: Credit,
     likely: Credit,
-    /// What the server said last, where it is one that states a limit: who is asked may not have heard of it.
+    /// The server's latest statement, if the owner is a server: the daemon that is asked may not have
+    /// received it.
     limit: Option<LimitStatement>,
 }
 
-/// The answer.
+/// Reply to a credit request.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct QuotaAnswer {
+pub struct QuotaReply {
     incarnation: Incarnation,
     number: u64,
     grant: Grant,
 }
 
-/// Credit that was granted and not spent.
+/// Return of granted, unspent credit.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct QuotaReturn {
     owner: QuotaOwner,
     credit: Credit,
 }
 
-/// A message to another daemon.
+/// A datagram and its destination.
 pub type Outgoing = (SocketAddr, Datagram);
 
 #[derive(Debug)]
@@ -95,39 +97,39 @@
 }
 
 #[derive(Debug)]
-struct Question {
+struct PendingRequest {
     owner: QuotaOwner,
-    asked_us: MonoTime,
-    answered: oneshot::Sender<Grant>,
+    requested_us: MonoTime,
+    reply_sender: oneshot::Sender<Grant>,
 }
 
-/// The quotas, as far as they concern this daemon.
+/// Quotas and server limits as far as this daemon spends or grants their credit.
 #[derive(Debug)]
 pub struct QuotaHub {
     host: HostId,
     accounts: Mutex<HashMap<QuotaOwner, Account>>,
-    questions: Mutex<HashMap<u64, Question>>,
-    asked: AtomicU64,
-    silent: Mutex<HashMap<HostId, Suspicion>>,
+    pending: Mutex<HashMap<u64, PendingRequest>>,
+    next_number: AtomicU64,
+    suspicions: Mutex<HashMap<HostId, Suspicion>>,
     outgoing: mpsc::UnboundedSender<Outgoing>,
 }
 
 impl QuotaHub {
-    /// A hub that knows no quotas, and the end where its messages come out.
+    /// A hub without quotas, and the receiver of its outgoing datagrams.
     pub fn new(host: HostId) -> (Self, mpsc::UnboundedReceiver<Outgoing>) {
         let (outgoing, messages) = mpsc::unbounded_channel();
         let hub = Self {
             host,
             accounts: Mutex::default(),
-            questions: Mutex::default(),
-            asked: AtomicU64::new(0),
-            silent: Mutex::default(),
+            pending: Mutex::default(),
+            next_number: AtomicU64::new(0),
+            suspicions: Mutex::default(),
             outgoing,
         };
         (hub, messages)
     }
 
-    /// Takes the quotas of a table. What was granted and leased stays so.
+    /// Applies the quotas of a route table. Granted and leased credit is kept.
     pub fn configure(&self, table: &RouteTable, bounds: QuotaBounds) {
         let mut accounts = self.accounts.lock();
         let limited = table.partners().iter().filter_map(|partner| Some((&partner.id, partner.quota?)));
@@ -142,13 +144,13 @@
         }
     }
 
-    /// Takes the limit that a server states. What was granted and leased stays so.
+    /// Applies the limit that a server states. Granted and leased credit is kept.
     pub fn configure_server(&self, server: &BackendServerId, rate: CreditPerSecond) {
         let owner = QuotaOwner::Server(server.clone());
         configure_account(&mut self.accounts.lock(), owner, server_limit(rate));
     }
 
-    /// Forgets the limits of servers that are gone.
+    /// Removes the limits of servers that are no longer listed.
     pub fn retain_servers<IsListed>(&self, is_listed: IsListed)
     where
         IsListed: Fn(&BackendServerId) -> bool,
@@ -159,28 +161,29 @@
         });
     }
 
-    /// Takes `credit` out of a quota or a server's limit; leases more from its primary where too little is leased here.
+    /// Charges `credit` to a quota or a server's limit; leases more from its primary when too little is
+    /// leased here.
     ///
     /// # Errors
     ///
-    /// The refusal: `OverQuota` when it is used up, `QuotaUnknown` when nobody answers.
+    /// The refusal: `OverQuota` when the quota is used up, `QuotaUnknown` when no daemon replies.
     pub async fn charge(
         &self,
         state: &RelayState,
         owner: &QuotaOwner,
         credit: Credit,
     ) -> Result<(), Refusal> {
-        for timeout in ANSWER_TIMEOUTS {
+        for timeout in REPLY_TIMEOUTS {
             if let Some(settled) = self.settle(state, owner, credit) {
                 return settled;
             }
-            let Some(host) = self.whom_to_ask(state, owner) else {
+            let Some(host) = self.select_daemon(state, owner) else {
                 break;
             };
             let grant = if host == self.host {
                 self.grant(state, owner, credit, Credit::ZERO)
             } else {
-                self.ask(state, &host, owner, credit, timeout).await
+                self.request(state, &host, owner, credit, timeout).await
             };
             if let Some(Grant::Granted(granted)) = grant
                 && host == self.host
@@ -196,7 +199,7 @@
             .unwrap_or(Err(Refusal::retry_after(Reason::QuotaUnknown, UNKNOWN_RETRY_MS)))
     }
 
-    /// Decides from what is leased and denied already, if that suffices.
+    /// Decides from leased credit and cached denials, if they suffice.
     fn settle(&self, state: &RelayState, owner: &QuotaOwner, credit: Credit) -> Option<Result<(), Refusal>> {
         let now_us = clock::now();
         let mut accounts = self.accounts.lock();
@@ -207,7 +210,7 @@
         let is_paid = account.leased.spend(now_us, credit);
         let denied_ms = account.leased.denied_ms(now_us, credit);
         drop(accounts);
-        self.put_back(state, owner, expired);
+        self.refund(state, owner, expired);
         match denied_ms {
             _ if is_paid => Some(Ok(())),
             Some(wait_ms) => Some(Err(Refusal::retry_after(Reason::OverQuota, wait_ms))),
@@ -216,11 +219,11 @@
     }
 
     /// The first candidate that is not suspected.
-    fn whom_to_ask(&self, state: &RelayState, owner: &QuotaOwner) -> Option<HostId> {
+    fn select_daemon(&self, state: &RelayState, owner: &QuotaOwner) -> Option<HostId> {
         let now_us = clock::now();
-        let silent = self.silent.lock();
+        let suspicions = self.suspicions.lock();
         let is_suspected =
-            |host: &HostId| silent.get(host).is_some_and(|silence| silence.is_suspected(now_us));
+            |host: &HostId| suspicions.get(host).is_some_and(|suspicion| suspicion.is_suspected(now_us));
         let ranked = candidates(owner.as_str(), self.reachable(state));
         ranked.into_iter().find(|host| !is_suspected(host))
     }
@@ -231,7 +234,7 @@
         hosts
     }
 
-    async fn ask(
+    async fn request(
         &self,
         state: &RelayState,
         host: &HostId,
@@ -242,73 +245,77 @@
         let address = state.peers.address_of(host)?;
         let now_us = clock::now();
         let likely = self.accounts.lock().get_mut(owner)?.leased.likely(now_us);
-        let number = self.asked.fetch_add(1, Ordering::Relaxed);
-        let (answered, answer) = oneshot::channel();
-        self.remember(now_us, number, Question { owner: owner.clone(), asked_us: now_us, answered });
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
+        let (reply_sender, reply) = oneshot::channel();
+        self.add_pending(
+            now_us,
+            number,
+            PendingRequest { owner: owner.clone(), requested_us: now_us, reply_sender },
+        );
         let incarnation = state.incarnation;
         let limit = match owner {
             QuotaOwner::Partner(_) => None,
             QuotaOwner::Server(server) => state.limits.statement(server),
         };
-        let question = QuotaQuestion { incarnation, number, owner: owner.clone(), needs, likely, limit };
-        self.send(address, Datagram::QuotaQuestion(question));
-        let grant = tokio::time::timeout(timeout, answer).await.ok().and_then(Result::ok);
-        let mut silent = self.silent.lock();
+        let request = QuotaRequest { incarnation, number, owner: owner.clone(), needs, likely, limit };
+        self.send(address, Datagram::QuotaRequest(request));
+        let grant = tokio::time::timeout(timeout, reply).await.ok().and_then(Result::ok);
+        let mut suspicions = self.suspicions.lock();
         if grant.is_some() {
-            silent.remove(host);
+            suspicions.remove(host);
             return grant;
         }
-        silent.entry(host.clone()).or_default().note_timeout(clock::now());
+        suspicions.entry(host.clone()).or_default().note_timeout(clock::now());
         None
     }
 
-    fn remember(&self, now_us: MonoTime, number: u64, question: Question) {
-        let mut questions = self.questions.lock();
-        questions.retain(|_, question| now_us < question.asked_us + LEASE_LIFE_MS);
-        questions.insert(number, question);
+    fn add_pending(&self, now_us: MonoTime, number: u64, request: PendingRequest) {
+        let mut pending = self.pending.lock();
+        pending.retain(|_, request| now_us < request.requested_us + LEASE_LIFE_MS);
+        pending.insert(number, request);
     }
 
-    /// Answers another daemon's question. Nothing is said of an organisation that is not known here yet.
-    pub fn answer(&self, state: &RelayState, from: SocketAddr, question: &QuotaQuestion) {
-        let &QuotaQuestion { incarnation, number, ref owner, needs, likely, ref limit } = question;
+    /// Replies to another daemon's request. There is no reply for an organisation that is not known here yet.
+    pub fn handle_request(&self, state: &RelayState, from: SocketAddr, request: &QuotaRequest) {
+        let &QuotaRequest { incarnation, number, ref owner, needs, likely, ref limit } = request;
         if let Some(limit) = limit {
             state.limits.merge(state, std::slice::from_ref(limit));
         }
         if let Some(grant) = self.grant(state, owner, needs, likely) {
-            self.send(from, Datagram::QuotaAnswer(QuotaAnswer { incarnation, number, grant }));
+            self.send(from, Datagram::QuotaReply(QuotaReply { incarnation, number, grant }));
         }
     }
 
-    /// Takes an answer. One that comes too late for its request serves the next one.
-    pub fn take(&self, state: &RelayState, answer: &QuotaAnswer) {
-        if answer.incarnation != state.incarnation {
+    /// Handles a reply. Credit that arrives too late for its request serves the next one.
+    pub fn handle_reply(&self, state: &RelayState, reply: &QuotaReply) {
+        if reply.incarnation != state.incarnation {
             return;
         }
-        let Some(question) = self.questions.lock().remove(&answer.number) else {
+        let Some(request) = self.pending.lock().remove(&reply.number) else {
             return;
         };
-        if let Grant::Granted(credit) = answer.grant {
-            self.lease(&question.owner, question.asked_us, credit);
+        if let Grant::Granted(credit) = reply.grant {
+            self.lease(&request.owner, request.requested_us, credit);
         }
-        // Whoever asked may have given up.
-        let _ = question.answered.send(answer.grant);
+        // The requester may have timed out.
+        let _ = request.reply_sender.send(reply.grant);
     }
 
-    /// Takes back what another daemon did not spend.
-    pub fn returned(&self, returned: &QuotaReturn) {
+    /// Credits what another daemon did not spend.
+    pub fn accept_return(&self, returned: &QuotaReturn) {
         if let Some(account) = self.accounts.lock().get_mut(&returned.owner) {
             account.ledger.put_back(clock::now(), returned.credit);
         }
     }
 
-    /// Gives back the charge of a request that has not run, or credit whose lease expired.
-    pub fn put_back(&self, state: &RelayState, owner: &QuotaOwner, credit: Credit) {
+    /// Refunds the charge of a request that has not run, or credit whose lease expired.
+    pub fn refund(&self, state: &RelayState, owner: &QuotaOwner, credit: Credit) {
         if credit == Credit::ZERO {
             return;
         }
         let returned = QuotaReturn { owner: owner.clone(), credit };
-        match self.whom_to_ask(state, owner) {
-            Some(host) if host == self.host => self.returned(&returned),
+        match self.select_daemon(state, owner) {
+            Some(host) if host == self.host => self.accept_return(&returned),
             Some(host) => {
                 if let Some(address) = state.peers.address_of(&host) {
                     self.send(address, Datagram::QuotaReturn(returned));
@@ -318,7 +325,7 @@
         }
     }
 
-    /// Another daemon has joined; it is primary for what it comes first for.
+    /// Steps down as primary for the owners for which the joined daemon ranks higher.
     pub fn host_joined(&self, host: &HostId) {
         for (owner, account) in self.accounts.lock().iter_mut() {
             if outranks(owner.as_str(), host, &self.host) {
@@ -331,7 +338,7 @@
         if let QuotaOwner::Server(server) = owner
             && state.limits.statement(server).is_some_and(|limit| limit.rate.is_none())
         {
-            // It was withdrawn, which the other daemon does not know yet.
+            // The limit was withdrawn, which the other daemon does not know yet.
             return Some(Grant::Granted(needs));
         }
         let is_primary = candidates(owner.as_str(), self.reachable(state)).first() == Some(&self.host);
@@ -342,20 +349,20 @@
         Some(account.ledger.grant(clock::now(), role, coverage, needs, likely))
     }
 
-    fn lease(&self, owner: &QuotaOwner, asked_us: MonoTime, credit: Credit) {
+    fn lease(&self, owner: &QuotaOwner, requested_us: MonoTime, credit: Credit) {
         if let Some(account) = self.accounts.lock().get_mut(owner) {
-            account.leased.add(asked_us, credit);
+            account.leased.add(requested_us, credit);
         }
     }
 
     fn deny(&self, owner: &QuotaOwner, credit: Credit, wait_ms: Millis) {
         if let Some(account) = self.accounts.lock().get_mut(owner) {
-            account.leased.deny(clock::now(), credit, wait_ms.min(DENIAL_MS_MAX));
+            account.leased.deny(clock::now(), credit, wait_ms.min(DENIAL_CACHE_MS_MAX));
         }
     }
 
     fn send(&self, to: SocketAddr, datagram: Datagram) {
-        // Without the talk between daemons nobody can be asked, and the question runs into its time limit.
+        // If the exchange between daemons is down, the request simply times out.
         let _ = self.outgoing.send((to, datagram));
     }
 }
--- a/crates/router/src/relay/refusal.rs
+++ b/crates/router/src/relay/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the relay's own: refusals and failures.
+//! Answers that the router gives itself: refusals and failures.
 
 use bytes::Bytes;
 use hibiscusvale_core::relay::engines::EngineRefusal;
@@ -8,42 +8,42 @@
 use http::{HeaderValue, Response, StatusCode, header};
 use http_body_util::{BodyExt, Full};
 
-use super::edge::Wire;
+use super::interfaces::Wire;
 use crate::callers::AnswerBody;
 use crate::metrics::Label;
 
-/// Why the relay answers itself.
+/// Why the router answers itself.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Reason {
-    /// The request cannot be understood.
+    /// The request is malformed.
     BadRequest,
-    /// Its body is larger than allowed.
+    /// The body is larger than allowed.
     BodyTooLarge,
-    /// Its body did not arrive in time, or broke off.
+    /// The body did not arrive in time or broke off.
     BodyIncomplete,
-    /// No route has this host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// The request carries no key, and its route asks for one.
+    /// The request carries no key, and its route requires one.
     NoKey,
-    /// No organisation holds the request's key.
+    /// No organisation has the request's key.
     UnknownKey,
-    /// This daemon knows no routes yet, or cannot know whether the ones that it knows are still in force.
+    /// This daemon has no routes yet, or cannot tell whether its routes are still current.
     NoTable,
     /// The organisation's quota is used up.
     OverQuota,
-    /// No daemon that keeps the organisation's quota could be asked.
+    /// No daemon that manages the organisation's quota replied.
     QuotaUnknown,
-    /// No server of the service takes requests.
+    /// No server of the service accepts requests.
     NoServer,
-    /// It would wait longer than it is worth.
+    /// The request would have to queue for too long.
     WouldWaitTooLong,
-    /// Every server that was asked refused.
+    /// Every server that was tried refused.
     ServersFull,
-    /// Servers crashed under it wherever it was sent.
+    /// The request is quarantined: servers crashed under it.
     CrashesServers,
-    /// A server had it and gave no answer in time.
+    /// A server received the request and did not answer in time.
     NoAnswerInTime,
-    /// A server had it and gave no usable answer.
+    /// A server received the request and gave no usable answer.
     NoAnswer,
 }
 
@@ -77,7 +77,7 @@
             Self::BodyIncomplete => StatusCode::REQUEST_TIMEOUT,
             Self::NoRoute => StatusCode::NOT_FOUND,
             Self::NoKey | Self::UnknownKey => StatusCode::UNAUTHORIZED,
-            // These say that the request has not run and never will.
+            // These statuses promise that the request has not run and never will.
             Self::NoTable
             | Self::NoServer
             | Self::WouldWaitTooLong
@@ -85,7 +85,7 @@
             | Self::CrashesServers
             | Self::QuotaUnknown => StatusCode::SERVICE_UNAVAILABLE,
             Self::OverQuota => StatusCode::TOO_MANY_REQUESTS,
-            // These promise nothing.
+            // These statuses promise nothing about execution.
             Self::NoAnswerInTime => StatusCode::GATEWAY_TIMEOUT,
             Self::NoAnswer => StatusCode::BAD_GATEWAY,
         }
@@ -121,22 +121,22 @@
     }
 }
 
-/// An answer of the relay's own.
+/// An answer that the router gives itself.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub reason: Reason,
-    /// When another try is worth making.
+    /// Retry-After; `None` if no time can be given.
     pub retry_after_ms: Option<Millis>,
 }
 
 impl Refusal {
-    /// A refusal without a time to come back.
+    /// A refusal without Retry-After.
     pub fn new(reason: Reason) -> Self {
         Self { reason, retry_after_ms: None }
     }
 
-    /// A refusal with a time to come back.
+    /// A refusal with Retry-After.
     pub fn retry_after(reason: Reason, retry_after_ms: Millis) -> Self {
         Self { reason, retry_after_ms: Some(retry_after_ms) }
     }
@@ -146,13 +146,13 @@
         matches!(self.reason.status(), StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS)
     }
 
-    /// The same for a request that a server may have run: then there is no promise that it has not.
+    /// The refusal for a request that a server may have run, which must not promise that it has not.
     #[must_use]
     pub fn unless_run(self, may_have_run: bool) -> Self {
         if may_have_run { Self::new(Reason::NoAnswer) } else { self }
     }
 
-    /// The answer that tells the caller.
+    /// Converts it into the answer to the caller.
     pub fn into_response(self, wire: &dyn Wire) -> Response<AnswerBody> {
         let text = Bytes::from_static(self.reason.label().as_bytes());
         let mut response = Response::new(Full::new(text).map_err(|never| match never {}).boxed_unsync());
--- a/crates/router/src/relay/settings.rs
+++ b/crates/router/src/relay/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a daemon that relays by a table of routes.
+//! Settings of a daemon in relay mode, which forwards requests by a route table.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -16,32 +16,32 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RelaySettings {
-    /// Who this daemon is.
+    /// Identity of the host.
     pub host: HostSettings,
-    /// Where it listens.
+    /// Listen addresses.
     pub listen: RelayListenSettings,
-    /// Where it learns routes and servers.
+    /// Store of routes and servers.
     pub store: StoreSettings,
-    /// The other daemons.
+    /// How other daemons are found.
     #[serde(default)]
     pub peers: RelayPeerSettings,
-    /// What the installation allows.
+    /// Limits of the installation.
     #[serde(default)]
     pub bounds: BoundSettings,
-    /// What the host gives.
+    /// Resources of the host.
     #[serde(default)]
     pub capacity: CapacitySettings,
-    /// What the daemon tells about itself.
+    /// Logging and observation.
     #[serde(default)]
     pub observe: ObserveSettings,
 }
 
 impl RelaySettings {
-    /// Reads and checks the settings in the file at `path`.
+    /// Reads and checks the settings file at `path`.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] when the file cannot be read or says something that cannot stand.
+    /// [`SettingsError`] when the file cannot be read or its content is invalid.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         Self::parse(&read_text(path)?)
     }
@@ -57,7 +57,7 @@
         if problems.is_empty() { Ok(settings) } else { Err(SettingsError::Invalid(problems)) }
     }
 
-    /// Values out of range: slips of the keyboard whose effect would show only when something fails.
+    /// Finds values out of range, such as typing errors whose effect would show only in a failure.
     fn problems(&self, text: &str) -> Vec<SettingsProblem> {
         let Self { bounds, capacity, .. } = self;
         let mut problems = Vec::new();
@@ -77,92 +77,94 @@
     }
 }
 
-/// Milliseconds over which reads of the register are spread, for each further try of all daemons.
-const SPREAD_MS_PER_TRY: f64 = 1.5;
+/// Time over which reads of the register are spread, in ms per retry of the shared slack.
+const SPREAD_MS_PER_RETRY: f64 = 1.5;
 
-/// Longest such time: callers wait for daemons that start.
+/// Maximum of that time: callers wait for starting daemons.
 const SPREAD_MS_MAX: f64 = 3_000.0;
 
-/// Below, no answer could end after the balancer has looked elsewhere; above, a host could not be taken out of use.
+/// Below 1 s, no answer could finish after the balancer has switched to other hosts; above 600 s, a host
+/// could not be taken out of service.
 const GRACE_S: RangeInclusive<f64> = 1.0..=600.0;
 
-/// More than ten further tries for each request are no retries any more.
+/// More than ten retries per request would no longer be retries.
 const RETRY_RATIO: RangeInclusive<f64> = 0.0..=10.0;
 
-/// Further tries beyond the ratio, of all daemons.
+/// Retries beyond the ratio, of all daemons together.
 const RETRY_SLACK: RangeInclusive<f64> = 0.0..=100_000.0;
 
-/// Below, word of what was spent would come too late; above, a daemon would have to remember tries for hours.
+/// Below 1 s, reports of spent credit would arrive too late; above 3,600 s, a daemon would have to remember
+/// retries for hours.
 const RETRY_WINDOW_S: RangeInclusive<f64> = 1.0..=3_600.0;
 
-/// Below, a quota would have to be kept more exactly than daemons can agree.
+/// Below 1 s, a quota would have to be enforced more precisely than daemons can agree on it.
 const QUOTA_WINDOW_S: RangeInclusive<f64> = 1.0..=3_600.0;
 
-/// More than the whole quota beyond the quota is no limit any more.
+/// An overshoot above the quota itself would no longer be a limit.
 const QUOTA_OVERSHOOT: RangeInclusive<f64> = 0.0..=1.0;
 
-/// Requests or tokens beyond that, of all daemons.
+/// Requests or tokens beyond the overshoot, of all daemons together.
 const QUOTA_SLACK: RangeInclusive<f64> = 0.0..=1e12;
 
-/// With fewer, callers and servers could not be connected at the same time.
+/// With fewer than 256, callers and servers could not be connected at the same time.
 const DESCRIPTORS: RangeInclusive<f64> = 256.0..=1_000_000.0;
 
-/// Addresses that a relaying daemon listens on.
+/// Listen addresses of a daemon in relay mode.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RelayListenSettings {
-    /// For callers, behind the balancer.
+    /// For callers, behind the load balancer.
     pub callers: SocketAddr,
-    /// For the balancer's question whether the daemon takes callers.
+    /// For the load balancer's readiness probe.
     pub readiness: SocketAddr,
-    /// For other daemons, over UDP.
+    /// For other daemons, over UDP and TCP.
     pub peers: SocketAddr,
-    /// For operators and scraping.
+    /// For operators and metrics scraping; `None` disables it.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
 }
 
-/// Where routes and servers are learned.
+/// Where routes and servers are read.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoreSettings {
-    /// Its address.
+    /// Address of the store.
     pub address: SocketAddr,
 }
 
-/// How to find other daemons where the store does not tell.
+/// How other daemons are found when the store does not answer.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RelayPeerSettings {
-    /// Some hosts with daemons; they may be gone by now. The port does not count: daemons listen to each other on the
-    /// same port everywhere.
+    /// Addresses of some hosts with daemons, which may no longer exist. The port is ignored: daemons listen
+    /// on the same port everywhere.
     pub seeds: Vec<SocketAddr>,
     /// Whether all daemons of the installation start for the first time.
     pub first_start: bool,
 }
 
-/// What the installation allows. Figures of an installation that was scaled down or up are fractions.
+/// Limits of the installation. All are fractional, so that they can be scaled with the installation.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BoundSettings {
     /// Time between SIGTERM and SIGKILL, in seconds.
     pub grace_s: f64,
-    /// Further tries that all daemons together may make for each request of a service.
+    /// Retries that all daemons together may make per request of a service.
     pub retry_ratio: f64,
-    /// Further tries that all daemons together may make beyond that, in each window.
+    /// Retries that all daemons together may make beyond the ratio in each window.
     pub retry_slack: f64,
-    /// Length of that window, in seconds.
+    /// Length of the retry window, in seconds.
     pub retry_window_s: f64,
     /// Length of the window in which quotas are counted, in seconds.
     pub quota_window_s: f64,
-    /// Part of a quota that may be sent beyond it in a window.
+    /// Fraction of a quota that may be sent beyond it in a window.
     pub quota_overshoot: f64,
-    /// Requests or tokens that may be sent beyond that in a window.
+    /// Requests or tokens that may be sent beyond the overshoot in a window.
     pub quota_slack: f64,
 }
 
 impl BoundSettings {
-    /// How exactly quotas have to be kept.
+    /// Precision with which quotas have to be enforced.
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "checked to be in range")]
     pub fn quota(&self) -> QuotaBounds {
         QuotaBounds {
@@ -172,11 +174,11 @@
         }
     }
 
-    /// Time over which daemons that start together spread their reads of the register. How many daemons there are is what
-    /// they do not know yet; the further tries that all of them may make together tell the size of the installation.
+    /// Time over which daemons that start together spread their reads of the register. They do not know the
+    /// number of daemons yet, so the shared retry slack serves as a measure of the size of the installation.
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "bounded")]
     pub fn joining_spread(&self) -> Millis {
-        Millis((self.retry_slack * SPREAD_MS_PER_TRY).min(SPREAD_MS_MAX) as u64)
+        Millis((self.retry_slack * SPREAD_MS_PER_RETRY).min(SPREAD_MS_MAX) as u64)
     }
 
     /// Time between SIGTERM and SIGKILL.
@@ -184,7 +186,7 @@
         Duration::from_secs_f64(self.grace_s)
     }
 
-    /// Length of the window in which further tries are counted.
+    /// Length of the window in which retries are counted.
     pub fn retry_window(&self) -> Duration {
         Duration::from_secs_f64(self.retry_window_s)
     }
@@ -204,22 +206,23 @@
     }
 }
 
-/// What the host gives to the process.
+/// Resources of the process.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CapacitySettings {
-    /// Descriptors; a part of one is of no use and does not count.
+    /// Limit of file descriptors; a fraction is rounded down.
     pub descriptors: f64,
 }
 
-/// Part of the descriptors that callers may take. The rest is for connections to servers, the store and other daemons.
-const CALLERS_SHARE: f64 = 0.75;
+/// Fraction of the file descriptors available to callers. The rest is for connections to servers, the store
+/// and other daemons.
+const CALLERS_FRACTION: f64 = 0.75;
 
 impl CapacitySettings {
-    /// Connections of callers that may be open at once.
+    /// Maximum number of open caller connections.
     pub fn caller_connections(&self) -> usize {
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "checked to be in range")]
-        let connections = (self.descriptors * CALLERS_SHARE) as usize;
+        let connections = (self.descriptors * CALLERS_FRACTION) as usize;
         connections
     }
 }
--- a/crates/router/src/relay/state.rs
+++ b/crates/router/src/relay/state.rs
@@ -1,4 +1,4 @@
-//! What all requests of a relaying daemon share.
+//! State shared by all requests of a daemon in relay mode.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -15,73 +15,73 @@
 use parking_lot::Mutex;
 use tokio::time::Instant;
 
-use super::edge::{Call, Hop, Task, Wire};
 use super::engine_hub::EngineHub;
 use super::freshness::Freshness;
-use super::handover::HandedOn;
+use super::interfaces::{Call, Hop, Task, Wire};
 use super::limits::LimitHub;
-use super::metrics::{Ended, RelayMetrics};
-use super::news::News;
+use super::metrics::{RelayMetrics, RequestSummary};
 use super::peers::Peers;
 use super::quarantine::QuarantineHub;
 use super::quotas::QuotaHub;
+use super::server_changes::ServerChangeLog;
 use super::settings::BoundSettings;
-use super::story::{Step, Story};
+use super::state_transfer::TransferBudget;
+use super::trace::{RequestTrace, Step};
 use crate::backend::BackendHttp;
 use crate::directory::Directory;
 use crate::dispatch::PlainHub;
 use crate::logging::{Log, RelayLine};
 
-/// A request that was read whole.
+/// A request that was read completely.
 #[derive(Debug)]
 pub struct Incoming {
-    /// The relay's own name for it.
+    /// Id given by this daemon.
     pub request_id: RequestId,
-    /// What its caller says.
+    /// What the caller states about it.
     pub call: Call,
-    /// The organisation whose caller sent it; `None` where callers need no key.
+    /// Organisation of the caller; `None` where callers need no key.
     pub partner: Option<PartnerId>,
-    /// What it took out of the organisation's quota.
+    /// Amount charged to the organisation's quota.
     pub charged: Credit,
-    /// By which it is recognised when it comes again.
+    /// Identifies repetitions of the same request.
     pub fingerprint: Fingerprint,
-    /// Its route, with the organisation's rank.
+    /// Its route, with the organisation's priority applied.
     pub route: Route,
-    /// The service that it goes to.
+    /// Destination service.
     pub service: ServiceId,
-    /// Method as sent.
+    /// Method as received.
     pub method: Method,
-    /// Path and query as sent.
+    /// Path and query as received.
     pub path: String,
-    /// Headers as sent, without a key that is meant for the router alone.
+    /// Headers as received, without a key that is meant for the router alone.
     pub headers: HeaderMap,
-    /// Body as sent.
+    /// Body as received.
     pub body: Bytes,
-    /// How long its caller has waited with earlier tries.
+    /// How long the caller has waited in earlier attempts.
     pub waited_ms: Millis,
-    /// When its first byte was understood.
+    /// When its head was parsed.
     pub arrived: Instant,
-    /// When its caller gets its final answer at the latest.
+    /// Deadline of the final answer.
     pub deadline: Instant,
-    /// What happened to it.
-    pub story: Mutex<Story>,
-    /// The daemon.
+    /// Trace of its processing.
+    pub trace: Mutex<RequestTrace>,
+    /// State of the daemon.
     pub state: Arc<RelayState>,
 }
 
-/// One line for each request, when nothing is left of it: with its answer, or with the detached end of a call that
-/// may not be broken off.
+/// Writes the log line of the request when its last reference is dropped: at the end of its answer, or of a
+/// detached call that must not be aborted.
 impl Drop for Incoming {
     fn drop(&mut self) {
         self.state.open.fetch_sub(1, Ordering::Relaxed);
-        let story = self.story.get_mut();
+        let trace = self.trace.get_mut();
         let took = self.arrived.elapsed();
-        self.state.metrics.ended(Ended {
+        self.state.metrics.record_request(RequestSummary {
             service: self.service.as_str(),
-            outcome: story.how(),
+            outcome: trace.outcome(),
             took,
-            first_event_ms: story.first_event_ms(),
-            longest_pause_ms: story.longest_pause_ms(),
+            first_event_ms: trace.first_event_ms(),
+            longest_pause_ms: trace.longest_pause_ms(),
         });
         self.state.log.relayed(RelayLine {
             request_id: self.request_id,
@@ -89,45 +89,45 @@
             route: &self.route.name,
             partner: self.partner.as_ref(),
             version: self.state.table.load().version().0,
-            outcome: story.how(),
-            steps: story.steps(),
+            outcome: trace.outcome(),
+            steps: trace.steps(),
             fingerprint: self.fingerprint,
             generation: self.call.generation.as_ref().map(|generation| {
                 let hint = generation.answer_tokens_hint.unwrap_or_default();
-                [generation.prompt_tokens, generation.answer_tokens_max, hint, Tokens(story.last_event())]
+                [generation.prompt_tokens, generation.answer_tokens_max, hint, Tokens(trace.last_event())]
             }),
             stated_wait_ms: self.call.wait_ms.unwrap_or_default(),
             waited_ms: self.waited_ms,
-            longest_pause_ms: story.longest_pause_ms(),
-            first_event_ms: story.first_event_ms(),
+            longest_pause_ms: trace.longest_pause_ms(),
+            first_event_ms: trace.first_event_ms(),
             took_ms: Millis(u64::try_from(took.as_millis()).unwrap_or(u64::MAX)),
         });
     }
 }
 
 impl Incoming {
-    /// Notes a step that has just ended.
-    pub fn note(&self, step: Step, server: &BackendServerId) {
-        self.state.metrics.step(step.label(), step.cause());
-        self.story.lock().note(self.arrived.elapsed(), step, server);
+    /// Records a step that has just ended.
+    pub fn record_step(&self, step: Step, server: &BackendServerId) {
+        self.state.metrics.record_step(step.label(), step.cause());
+        self.trace.lock().record_step(self.arrived.elapsed(), step, server);
     }
 
-    /// Notes that the first event went to the caller.
-    pub fn note_first_event(&self) {
-        self.story.lock().first_event(self.arrived.elapsed());
+    /// Records that the first event was sent to the caller.
+    pub fn record_first_event(&self) {
+        self.trace.lock().record_first_event(self.arrived.elapsed());
     }
 
-    /// Notes the number of the last event that its caller got.
-    pub fn note_last_event(&self, last: u64) {
-        self.story.lock().events(self.arrived.elapsed(), last);
+    /// Records the id of the last event sent to the caller.
+    pub fn record_last_event(&self, last: u64) {
+        self.trace.lock().record_event(self.arrived.elapsed(), last);
     }
 
-    /// Notes how it ended.
-    pub fn note_end(&self, how: &'static str) {
-        self.story.lock().end(how);
+    /// Records the outcome.
+    pub fn set_outcome(&self, outcome: &'static str) {
+        self.trace.lock().set_outcome(outcome);
     }
 
-    /// One sending of it to `server`.
+    /// An attempt to send it to `server`.
     pub fn hop<'a>(&'a self, server: &'a BackendServerId, task: Task) -> Hop<'a> {
         Hop {
             server,
@@ -139,68 +139,68 @@
         }
     }
 
-    /// Time that is left.
+    /// Time until the deadline.
     pub fn left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Time that is left, as it is handed on: never more than there is.
+    /// Time until the deadline in whole milliseconds, rounded down, for forwarding.
     pub fn left_ms(&self) -> Millis {
         Millis(u64::try_from(self.left().as_millis()).unwrap_or(u64::MAX))
     }
 }
 
-/// What all requests of a daemon share.
+/// State shared by all requests of a daemon.
 #[derive(Debug)]
 pub struct RelayState {
-    /// How callers and servers speak.
+    /// Protocol of callers and backend servers.
     pub wire: Arc<dyn Wire>,
-    /// The routes in force.
+    /// The route table in force.
     pub table: ArcSwap<RouteTable>,
     /// The backend servers.
     pub directory: Arc<Directory>,
-    /// Calls to backend servers.
+    /// HTTP client for backend servers.
     pub http: BackendHttp,
     /// Schedulers of plain services.
     pub plain_hub: PlainHub,
-    /// Pools of engines.
+    /// Engine pools.
     pub engine_hub: EngineHub,
-    /// How old its knowledge of routes and servers is.
+    /// Age of routes and server list.
     pub freshness: Freshness,
-    /// How long callers wait.
-    pub patience: Mutex<Patience>,
-    /// Changes of the servers, for the other daemons.
-    pub news: News,
-    /// What was handed on to other daemons lately.
-    pub handed_on: Mutex<HandedOn>,
+    /// Waiting times of callers by route.
+    pub caller_waits: Mutex<Patience>,
+    /// Server changes for other daemons.
+    pub server_changes: ServerChangeLog,
+    /// Budget of state transfer to other daemons.
+    pub transfer_budget: Mutex<TransferBudget>,
     /// The other daemons.
     pub peers: Peers,
-    /// What organisations may send.
+    /// Quotas of organisations and credit of server limits.
     pub quotas: QuotaHub,
     /// Limits that servers state.
     pub limits: LimitHub,
     /// Requests that crash servers.
     pub quarantine: QuarantineHub,
-    /// What the installation allows.
+    /// Limits of the installation.
     pub bounds: Mutex<BoundSettings>,
-    /// This daemon's life.
+    /// Incarnation of this daemon.
     pub incarnation: Incarnation,
-    /// Requests taken in by this life.
+    /// Number of requests admitted in this incarnation.
     pub sequence: AtomicU64,
-    /// Requests and streams under way.
+    /// Number of open requests and streams.
     pub open: AtomicU64,
-    /// Whether the schedulers know any list of servers: before that they would refuse whoever comes.
+    /// Whether the schedulers have a server list; without one they would refuse every request.
     pub servers_adopted: AtomicBool,
-    /// Whether the daemon is about to stop.
+    /// Whether the daemon is stopping.
     pub stopping: AtomicBool,
-    /// Where it tells.
+    /// Log output.
     pub log: Log,
-    /// Where it counts.
+    /// Metrics.
     pub metrics: RelayMetrics,
 }
 
 impl RelayState {
-    /// An id that no request had before.
+    /// A unique request id.
     pub fn next_id(&self) -> RequestId {
         RequestId { incarnation: self.incarnation, sequence: self.sequence.fetch_add(1, Ordering::Relaxed) }
     }
--- /dev/null
+++ b/crates/router/src/relay/state_transfer.rs
@@ -0,0 +1,245 @@
+//! State transfer between daemons, for those that the store does not answer.
+//!
+//! Hosts are also replaced during a store outage, and a new one has neither routes nor servers. Without state
+//! transfer it would refuse every caller until the store is back, and a long outage would take one host after
+//! another out of service. State transfer also covers a daemon that the store rejects while it answers the
+//! others.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use hibiscusvale_core::relay::routes::RouteTable;
+use hibiscusvale_core::units::{Micros, Millis, MonoTime};
+use http::{Method, Request, Response, StatusCode};
+use http_body_util::Full;
+use hyper::body::Incoming;
+use serde::de::DeserializeOwned;
+use serde::{Deserialize, Serialize};
+use tokio::net::TcpListener;
+
+use super::freshness::ListState;
+use super::interfaces::DaemonEntry;
+use super::server_changes::ServerChange;
+use super::state::RelayState;
+use super::{status, watch};
+use crate::backend::{Trust, read_body, uri};
+use crate::clock;
+use crate::directory::{BackendServer, Listing};
+
+/// Path of the full snapshot.
+const SNAPSHOT_PATH: &str = "/v1/knowledge";
+
+/// Path of the route table.
+const TABLE_PATH: &str = "/v1/knowledge/routes";
+
+/// Path of the list of daemons.
+const DAEMONS_PATH: &str = "/v1/knowledge/daemons";
+
+/// Path prefix of the server changes; followed by the version since which changes are requested.
+const CHANGES_PATH: &str = "/v1/knowledge/changes/";
+
+/// Timeout of a whole reply, inside a region.
+const TIMEOUT: Duration = Duration::from_secs(1);
+
+/// Largest reply that is read: several thousand routes and servers.
+const REPLY_BYTES_MAX: usize = 16 << 20;
+
+/// Pause between two requests, each to another daemon. Where the store is asked as well, it usually answers
+/// before this has passed once.
+const RETRY_INTERVAL: Duration = Duration::from_millis(700);
+
+/// Bytes of replies per second; further requests are refused. When hundreds of daemons ask at once, each one
+/// that was answered can answer others, and no single daemon saturates its link by answering all.
+const BYTES_PER_S: usize = 1 << 20;
+
+/// Reply bytes sent in the current second.
+#[derive(Debug, Default)]
+pub struct TransferBudget {
+    since_us: MonoTime,
+    bytes: usize,
+}
+
+impl TransferBudget {
+    /// Whether another reply may be sent. One reply may exceed the limit, or the largest could never be sent.
+    fn may_reply(&mut self, now_us: MonoTime) -> bool {
+        if now_us >= self.since_us + SECOND_MS {
+            *self = Self { since_us: now_us, bytes: 0 };
+        }
+        self.bytes < BYTES_PER_S
+    }
+}
+
+const SECOND_MS: Millis = Millis(1_000);
+
+#[derive(Debug, Deserialize, Serialize)]
+struct Snapshot {
+    table: RouteTable,
+    /// Version of the server list in the store.
+    version: u64,
+    servers: Vec<BackendServer>,
+    /// Age of the server list when the snapshot was made; `None` if unknown.
+    servers_age_us: Option<Micros>,
+}
+
+/// Serves other daemons for as long as this one runs.
+pub async fn serve(state: Arc<RelayState>, socket: TcpListener) {
+    status::serve_requests(socket, move |request| respond(&state, request)).await;
+}
+
+fn respond(state: &RelayState, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+    let is_known = state.table.load().is_known() && state.directory.listing().version > 0;
+    let is_busy = !state.transfer_budget.lock().may_reply(clock::now());
+    let path = request.uri().path();
+    let (status, body) = match (request.method(), path) {
+        (&Method::GET, DAEMONS_PATH) if !is_busy && state.peers.is_register_read() => {
+            encode(state, &state.peers.entries())
+        }
+        (&Method::GET, _) if is_busy || !is_known => (StatusCode::SERVICE_UNAVAILABLE, Vec::new()),
+        (&Method::GET, SNAPSHOT_PATH) => encode(state, &snapshot(state)),
+        (&Method::GET, TABLE_PATH) => encode(state, &**state.table.load()),
+        (&Method::GET, _) => match changes_since(state, path) {
+            Some(changes) => encode(state, &changes),
+            None => (StatusCode::NOT_FOUND, Vec::new()),
+        },
+        _ => (StatusCode::NOT_FOUND, Vec::new()),
+    };
+    state.transfer_budget.lock().bytes += body.len();
+    let mut response = Response::new(Full::new(Bytes::from(body)));
+    *response.status_mut() = status;
+    response
+}
+
+/// The server changes since the version in `path`; `None` when the history does not reach back that far.
+fn changes_since(state: &RelayState, path: &str) -> Option<Vec<ServerChange>> {
+    let version = path.strip_prefix(CHANGES_PATH)?.parse().ok()?;
+    state.server_changes.since(version)
+}
+
+fn snapshot(state: &RelayState) -> Snapshot {
+    let listing = state.directory.listing();
+    Snapshot {
+        table: state.table.load().as_ref().clone(),
+        version: listing.version,
+        servers: listing.servers.values().map(|server| server.as_ref().clone()).collect(),
+        servers_age_us: state.freshness.servers_age_us(clock::now()),
+    }
+}
+
+fn encode<Value>(state: &RelayState, value: &Value) -> (StatusCode, Vec<u8>)
+where
+    Value: Serialize,
+{
+    match postcard::to_stdvec(value) {
+        Ok(body) => (StatusCode::OK, body),
+        Err(error) => {
+            state.log.fault("reply to another daemon could not be encoded", &error);
+            (StatusCode::INTERNAL_SERVER_ERROR, Vec::new())
+        }
+    }
+}
+
+/// Requests snapshots from other daemons until this daemon has routes and servers, from the store or from
+/// them.
+pub async fn bootstrap(state: Arc<RelayState>) {
+    let mut attempts = 0_usize;
+    while !state.is_ready() {
+        tokio::time::sleep(RETRY_INTERVAL).await;
+        if state.is_ready() {
+            break;
+        }
+        if let Some(address) = state.peers.address_with_list(1) {
+            fetch_snapshot(&state, address).await;
+            continue;
+        }
+        let addresses = state.peers.addresses();
+        if let Some(address) = addresses.get(attempts % addresses.len().max(1)) {
+            fetch_snapshot(&state, *address).await;
+        }
+        attempts += 1;
+    }
+}
+
+/// Fetches the list of daemons from a seed.
+pub async fn fetch_entries_from_seed(state: &RelayState) -> Option<Vec<DaemonEntry>> {
+    fetch(state, state.peers.seed()?, DAEMONS_PATH).await
+}
+
+/// Fetches the list of daemons from a live daemon.
+pub async fn fetch_entries_from_peer(state: &RelayState) -> Option<Vec<DaemonEntry>> {
+    fetch(state, state.peers.address_with_list(0)?, DAEMONS_PATH).await
+}
+
+/// Fetches a snapshot from one daemon and adopts what is newer; returns whether anything was.
+pub async fn fetch_snapshot(state: &RelayState, address: SocketAddr) -> bool {
+    let requested_us = clock::now();
+    match fetch(state, address, SNAPSHOT_PATH).await {
+        Some(snapshot) => adopt(state, requested_us, snapshot, address),
+        None => false,
+    }
+}
+
+/// Fetches the route table of one daemon; returns whether it was newer than the one in force.
+///
+/// When operators publish several versions in a row, this keeps each daemon from reading each of them from
+/// the store, whose calls are rate-limited and billed.
+pub async fn fetch_table(state: &RelayState, address: SocketAddr) -> bool {
+    match fetch(state, address, TABLE_PATH).await {
+        Some(table) => watch::adopt_table(state, table),
+        None => false,
+    }
+}
+
+/// Fetches the server changes since the version known here from one daemon, or its full snapshot when its
+/// history does not reach back that far; returns whether that brought anything new.
+///
+/// A change of hundreds of servers does not fit into messages; this keeps each daemon from reading it from
+/// the store.
+pub async fn fetch_server_changes(state: &RelayState, address: SocketAddr) -> bool {
+    let version = state.directory.listing().version;
+    match fetch(state, address, &format!("{CHANGES_PATH}{version}")).await {
+        Some(changes) => watch::adopt_changes(state, changes),
+        None => fetch_snapshot(state, address).await,
+    }
+}
+
+async fn fetch<Reply>(state: &RelayState, address: SocketAddr, path: &str) -> Option<Reply>
+where
+    Reply: DeserializeOwned,
+{
+    let mut request = Request::new(Full::new(Bytes::new()));
+    *request.uri_mut() = uri(address, path).ok()?;
+    let response = state.http.send(Trust::Fresh, request, TIMEOUT).await.ok()?;
+    if response.status() != StatusCode::OK {
+        return None;
+    }
+    let body = read_body(response.into_body(), REPLY_BYTES_MAX, TIMEOUT).await.ok()?;
+    match postcard::from_bytes(&body) {
+        Ok(reply) => Some(reply),
+        Err(error) => {
+            state.log.fault("reply of another daemon could not be decoded", &error);
+            None
+        }
+    }
+}
+
+/// Adopts what is newer than the local state. Ages are counted from before the request, so that nothing is
+/// taken to be younger than it is.
+fn adopt(state: &RelayState, requested_us: MonoTime, snapshot: Snapshot, from: SocketAddr) -> bool {
+    let is_table_newer = watch::adopt_table(state, snapshot.table);
+    let before = state.directory.listing();
+    let servers = snapshot.servers.into_iter().map(Arc::new).collect();
+    let listing = Listing { version: snapshot.version, servers, ..Listing::default() };
+    let age_us = snapshot.servers_age_us.unwrap_or(Micros(u64::MAX));
+    let is_list_newer = listing.version >= before.version
+        && state.freshness.servers_transferred(requested_us, age_us, ListState::of(&listing));
+    if is_list_newer {
+        state.directory.adopt(listing);
+        watch::servers_changed(state, &before);
+    }
+    if is_table_newer || is_list_newer {
+        state.log.changed("learned from another daemon", &from);
+    }
+    is_table_newer || is_list_newer
+}
--- a/crates/router/src/relay/status.rs
+++ b/crates/router/src/relay/status.rs
@@ -1,4 +1,4 @@
-//! Tells the balancer whether this daemon takes new callers, and whoever scrapes what it has counted.
+//! HTTP endpoints for readiness probes of the load balancer and for metrics scraping.
 
 use std::convert::Infallible;
 use std::io;
@@ -17,68 +17,69 @@
 
 use super::state::RelayState;
 
-/// Where the balancer asks.
+/// Path of the readiness probe.
 const READY_PATH: &str = "/readyz";
 
-/// Where metrics are scraped.
+/// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
 const METRICS_TYPE: HeaderValue = HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
 
-/// What an address is for.
+/// Purpose of a listen address.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Purpose {
-    /// The balancer's question.
+    /// Readiness probes.
     Readiness,
-    /// Scraping.
+    /// Metrics scraping.
     Metrics,
 }
 
-/// A balancer that says nothing for so long has forgotten the connection; it asks once a second.
-const IDLE: Duration = Duration::from_secs(10);
+/// Idle timeout of a connection: the load balancer probes once a second, so one that is silent for so long
+/// has abandoned the connection.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers for as long as the daemon runs.
+/// Serves requests for as long as the daemon runs.
 ///
 /// # Errors
 ///
-/// The system's error when the address cannot be bound.
+/// The I/O error when the address cannot be bound.
 pub async fn serve(state: Arc<RelayState>, address: SocketAddr, purpose: Purpose) -> io::Result<()> {
     let socket = TcpListener::bind(address).await?;
-    answer_all(socket, move |request| answer(&state, purpose, request.uri().path())).await;
+    serve_requests(socket, move |request| respond(&state, purpose, request.uri().path())).await;
     Ok(())
 }
 
-/// Answers short questions on `socket`, without bodies and at once, for as long as the daemon runs.
-pub async fn answer_all<Answer>(socket: TcpListener, answer: Answer)
+/// Serves requests without bodies that are answered immediately, for as long as the daemon runs.
+pub async fn serve_requests<Respond>(socket: TcpListener, respond: Respond)
 where
-    Answer: Fn(&Request<Incoming>) -> Response<Full<Bytes>> + Send + Sync + 'static,
+    Respond: Fn(&Request<Incoming>) -> Response<Full<Bytes>> + Send + Sync + 'static,
 {
-    let answer = Arc::new(answer);
+    let respond = Arc::new(respond);
     loop {
         let Ok((stream, _)) = socket.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
             continue;
         };
-        let answer = Arc::clone(&answer);
+        let respond = Arc::clone(&respond);
         tokio::spawn(async move {
             let service = service_fn(move |request| {
-                let response = answer(&request);
+                let response = respond(&request);
                 async move { Ok::<_, Infallible>(response) }
             });
-            // Whoever breaks off asks again.
+            // A client whose connection fails retries.
             let _ = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(IDLE)
+                .header_read_timeout(IDLE_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
         });
     }
 }
 
-/// Pause after the system refused a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Pause after a failed `accept`.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-fn answer(state: &RelayState, purpose: Purpose, path: &str) -> Response<Full<Bytes>> {
+fn respond(state: &RelayState, purpose: Purpose, path: &str) -> Response<Full<Bytes>> {
     match (purpose, path) {
         (Purpose::Readiness, READY_PATH) if state.is_ready() => empty(StatusCode::OK),
         (Purpose::Readiness, READY_PATH) => empty(StatusCode::SERVICE_UNAVAILABLE),
--- a/crates/router/src/relay/story.rs
+++ b/crates/router/src/relay/trace.rs
@@ -1,4 +1,4 @@
-//! What happened to one request, told in one log line when it has ended.
+//! Trace of one request, logged as one line when it has ended.
 
 use std::fmt::Write as _;
 use std::time::Duration;
@@ -11,78 +11,78 @@
 pub enum Step {
     /// An instance answered.
     Answered,
-    /// An instance gave no answer that can be passed on.
+    /// An instance gave no usable answer.
     Failed(FailureCause),
-    /// An engine kept no room.
+    /// An engine made no reservation.
     ReserveFailed(FailureCause),
-    /// An engine read the prompt.
-    Read,
-    /// It did not.
-    ReadFailed(FailureCause),
-    /// An engine began its answer.
-    Written,
-    /// It did not.
-    WriteFailed(FailureCause),
+    /// An engine finished the prefill.
+    Prefilled,
+    /// An engine did not finish the prefill.
+    PrefillFailed(FailureCause),
+    /// An engine began to answer.
+    Decoding,
+    /// An engine did not begin to answer.
+    DecodeFailed(FailureCause),
 }
 
 impl Step {
-    /// Its name in logs and metrics.
+    /// Label in logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::Answered | Self::Failed(_) => "answer",
             Self::ReserveFailed(_) => "reserve",
-            Self::Read | Self::ReadFailed(_) => "read",
-            Self::Written | Self::WriteFailed(_) => "write",
+            Self::Prefilled | Self::PrefillFailed(_) => "read",
+            Self::Decoding | Self::DecodeFailed(_) => "write",
         }
     }
 
-    /// Why it failed; nothing where it did not.
+    /// Cause of the failure; empty for a success.
     pub fn cause(self) -> &'static str {
         match self {
-            Self::Answered | Self::Read | Self::Written => "",
+            Self::Answered | Self::Prefilled | Self::Decoding => "",
             Self::Failed(cause)
             | Self::ReserveFailed(cause)
-            | Self::ReadFailed(cause)
-            | Self::WriteFailed(cause) => cause_label(cause),
+            | Self::PrefillFailed(cause)
+            | Self::DecodeFailed(cause) => cause_label(cause),
         }
     }
 }
 
-/// Steps of one request that are told at most; more come only from a fault.
+/// Maximum number of steps in a trace; more come only from a fault.
 const STEPS_MAX: usize = 12;
 
-/// The steps so far, and how it ended.
+/// Steps and outcome of a request.
 #[derive(Debug, Default)]
-pub struct Story {
+pub struct RequestTrace {
     steps: usize,
     text: String,
-    end: Option<&'static str>,
+    outcome: Option<&'static str>,
     first_event: Option<Duration>,
     last_event: u64,
     last_event_at: Option<Duration>,
     longest_pause: Duration,
 }
 
-impl Story {
+impl RequestTrace {
     /// Adds a step that ended `at` after the request's arrival.
-    pub fn note(&mut self, at: Duration, step: Step, server: &BackendServerId) {
+    pub fn record_step(&mut self, at: Duration, step: Step, server: &BackendServerId) {
         self.steps += 1;
         if self.steps > STEPS_MAX {
             return;
         }
         let (what, cause) = (step.label(), step.cause());
         let gap = if self.text.is_empty() { "" } else { " " };
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = write!(self.text, "{gap}{what}:{server}:{cause}@{}", at.as_millis());
     }
 
-    /// The first event went to the caller.
-    pub fn first_event(&mut self, at: Duration) {
+    /// Records the first event sent to the caller.
+    pub fn record_first_event(&mut self, at: Duration) {
         self.first_event.get_or_insert(at);
     }
 
-    /// Notes the number of the last event that went to the caller.
-    pub fn events(&mut self, at: Duration, last: u64) {
+    /// Records the id of the last event sent to the caller.
+    pub fn record_event(&mut self, at: Duration, last: u64) {
         let pause = self.last_event_at.map_or(Duration::ZERO, |before| at.saturating_sub(before));
         self.longest_pause = self.longest_pause.max(pause);
         self.last_event_at = Some(at);
@@ -94,33 +94,33 @@
         u64::try_from(self.longest_pause.as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Number of the last event that went to the caller.
+    /// Id of the last event sent to the caller.
     pub fn last_event(&self) -> u64 {
         self.last_event
     }
 
-    /// Notes how it ended; the first word counts.
-    pub fn end(&mut self, how: &'static str) {
-        self.end.get_or_insert(how);
+    /// Records the outcome; only the first call counts.
+    pub fn set_outcome(&mut self, outcome: &'static str) {
+        self.outcome.get_or_insert(outcome);
     }
 
-    /// How it ended; a request that nobody ended was left by its caller.
-    pub fn how(&self) -> &'static str {
-        self.end.unwrap_or("caller-left")
+    /// The outcome; without one, the caller left.
+    pub fn outcome(&self) -> &'static str {
+        self.outcome.unwrap_or("caller-left")
     }
 
-    /// The steps as text: what, where, why it failed, and milliseconds since the request's arrival.
+    /// The steps as text: step, server, cause of failure, and milliseconds since the request's arrival.
     pub fn steps(&self) -> &str {
         &self.text
     }
 
-    /// Time from arrival to the first event.
+    /// Time from arrival to the first event; `None` before it.
     pub fn first_event_ms(&self) -> Option<u64> {
         self.first_event.map(|at| u64::try_from(at.as_millis()).unwrap_or(u64::MAX))
     }
 }
 
-/// Name of a cause in logs.
+/// Label of a failure cause in logs.
 pub fn cause_label(cause: FailureCause) -> &'static str {
     match cause {
         FailureCause::NotSent => "not-sent",
--- a/crates/router/tests/ops/relay_events.rs
+++ b/crates/router/tests/ops/relay_events.rs
@@ -1,11 +1,11 @@
-//! Cutting streams into events, for any bytes in any pieces.
+//! Splitting of streams into events, for any bytes in any chunks.
 
-use hibiscusvale::relay::events::EventCutter;
+use hibiscusvale::relay::events::EventSplitter;
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// Pieces of streams, whole and spoiled, as a connection may bring them.
+/// Pieces of valid and invalid streams.
 fn pieces() -> impl Strategy<Value = Vec<Vec<u8>>> {
     let piece = prop_oneof![
         (0..200_u64).prop_map(|id| format!("id: {id}\ndata: x\n\n").into_bytes()),
@@ -17,25 +17,29 @@
     vec(piece, 0..12)
 }
 
-/// Nothing is lost or made up, however the bytes are cut on the way, and what is passed on ends with an event.
+/// No byte is lost or added, however the stream is chunked, and everything that is forwarded ends with a
+/// complete event.
 #[test]
-fn what_comes_out_is_what_went_in() {
+fn splitting_preserves_all_bytes() {
     let config = Config { cases: 600, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[4; 32]));
     runner
         .run(&(pieces(), 1..7_usize), |(pieces, width)| {
             let whole = pieces.concat();
-            let mut cutter = EventCutter::default();
+            let mut splitter = EventSplitter::default();
             let mut out = Vec::new();
             for chunk in whole.chunks(width) {
-                if let Some(events) = cutter.push(chunk).unwrap() {
+                if let Some(events) = splitter.push(chunk).unwrap() {
                     prop_assert!(events.bytes.ends_with(b"\n\n"));
                     out.extend_from_slice(&events.bytes);
                 }
             }
-            let rest = cutter.rest();
-            prop_assert!(!rest.windows(2).any(|two| two == b"\n\n"), "a whole event is held back");
-            out.extend_from_slice(&rest);
+            let remainder = splitter.remainder();
+            prop_assert!(
+                !remainder.windows(2).any(|two| two == b"\n\n"),
+                "a complete event was not forwarded"
+            );
+            out.extend_from_slice(&remainder);
             prop_assert_eq!(out, whole);
             Ok(())
         })
--- a/crates/router/tests/ops/relay_settings.rs
+++ b/crates/router/tests/ops/relay_settings.rs
@@ -1,26 +1,26 @@
-//! Settings of a relaying daemon.
+//! Settings of a daemon in relay mode.
 
 use std::time::Duration;
 
 use hibiscusvale::relay::RelaySettings;
 use rstest::rstest;
 
-const WHOLE: &str = r#"
+const MINIMAL: &str = r#"
 host = { id = "entry-1", data_centre = "dc-1", region = "r" }
 listen = { callers = "10.0.0.1:80", readiness = "10.0.0.1:81", peers = "10.0.0.1:82" }
 store = { address = "10.0.0.9:90" }
 "#;
 
 #[test]
-fn defaults_fill_what_is_left_out() {
-    let settings = RelaySettings::parse(WHOLE).unwrap();
+fn missing_settings_take_defaults() {
+    let settings = RelaySettings::parse(MINIMAL).unwrap();
     assert_eq!(settings.bounds.grace(), Duration::from_secs(8));
     assert!(settings.peers.seeds.is_empty());
     assert_eq!(settings.listen.metrics, None);
 }
 
-/// A slip of the keyboard would show only when something fails; it stops the start instead, with key, line and what is
-/// allowed.
+/// A typing error would show only in a failure; instead it prevents the start, and the error names the key,
+/// the line and the allowed range.
 #[rstest]
 #[case("[bounds]\ngrace_s = 0.8", "line 6: bounds.grace_s is 0.8, allowed is 1 to 600")]
 #[case("[bounds]\nretry_ratio = -0.2", "bounds.retry_ratio is -0.2, allowed is 0 to 10")]
@@ -30,7 +30,7 @@
 #[case("[bounds]\nretry_window_s = 0", "bounds.retry_window_s is 0, allowed is 1 to 3600")]
 #[case("[capacity]\ndescriptors = 12", "capacity.descriptors is 12")]
 #[case("[bounds]\ngrace = 8", "unknown field")]
-fn what_is_out_of_range_is_refused(#[case] more: &str, #[case] said: &str) {
-    let error = RelaySettings::parse(&format!("{WHOLE}{more}\n")).unwrap_err().to_string();
-    assert!(error.contains(said), "{error}");
+fn out_of_range_settings_are_refused(#[case] addition: &str, #[case] expected: &str) {
+    let error = RelaySettings::parse(&format!("{MINIMAL}{addition}\n")).unwrap_err().to_string();
+    assert!(error.contains(expected), "{error}");
 }
