--- a/crates/core/src/relay/engines/ending.rs
+++ b/crates/core/src/relay/engines/ending.rs
@@ -63,7 +63,7 @@
             self.engines[reader].refused(now_us);
         }
         self.engines[writer].release(request_id);
-        self.engines[writer].instance.abandon(now_us);
+        self.engines[writer].instance.cancel(now_us);
         self.wait_again(now_us, request_id, actions);
     }
 
@@ -128,7 +128,7 @@
         open.stage = Stage::Waiting;
         open.progress = None;
         // What a failed try brought is never a whole answer.
-        let _ = open.tries.end(cause.proves());
+        let _ = open.tries.end(cause.attempt_end());
         if cause != FailureCause::Limited {
             open.failed_at = Some(writer);
         }
@@ -215,7 +215,7 @@
             Stage::Reserving { writer } => writer,
             Stage::Reading { reader, writer, .. } => {
                 self.engines[reader].end_reading(open.demand.prompt_tokens);
-                self.engines[reader].instance.abandon(now_us);
+                self.engines[reader].instance.cancel(now_us);
                 writer
             }
             Stage::Writing { writer, reads, .. } => {
@@ -224,7 +224,7 @@
             }
         };
         self.engines[writer].release(request_id);
-        self.engines[writer].instance.abandon(now_us);
+        self.engines[writer].instance.cancel(now_us);
     }
 
     pub(super) fn finished(&mut self, now_us: MonoTime, request_id: RequestId, events: u64) {
--- a/crates/core/src/relay/engines/engine.rs
+++ b/crates/core/src/relay/engines/engine.rs
@@ -104,7 +104,7 @@
         self.role == Role::Decode
             && self.instance.is_listed_live(now_us)
             && !self.is_changing(now_us)
-            && (!self.instance.is_set_aside() || self.instance.wants_trial(now_us, true))
+            && (!self.instance.is_ejected() || self.instance.is_probe_due(now_us, true))
     }
 
     /// Whether it takes work and has a slot free.
--- a/crates/core/src/sched/affinity.rs
+++ b/crates/core/src/sched/affinity.rs
@@ -1,48 +1,49 @@
-//! Which prefill server probably has which prompt prefix in its cache.
+//! Index of the prompt prefixes that each prefill server probably has cached.
 
 use std::collections::{HashMap, VecDeque};
 
-/// What happened to a block.
+/// Kind of a prefix-cache event.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CacheEventKind {
-    /// It was stored.
+    /// The block was stored.
     Stored,
-    /// It was evicted.
+    /// The block was evicted.
     Evicted,
 }
 
-/// One event of a server's prefix cache.
+/// Event reported by a server's prefix cache.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CacheEvent {
-    /// Position in the server's sequence; gaps happen.
+    /// Sequence number at the server; gaps mean lost events.
     pub seq: u64,
-    /// What happened.
+    /// Whether the block was stored or evicted.
     pub kind: CacheEventKind,
-    /// Hash of the prompt's prefix up to this block.
+    /// Hash of the prompt prefix that ends with this block.
     pub block: u64,
 }
 
-/// Servers remembered for one block. A hot prefix lives on several servers; more than these would not
-/// change where a request goes.
+/// Servers kept per block. More holders of a hot prefix would not change where a request is placed.
 const SERVERS_PER_BLOCK: usize = 3;
 
-/// A gap of more lost events than this makes what is known of a server worthless.
-const GAP_MAX: u64 = 64;
+/// More lost events in a row than this invalidate all entries of the server.
+const EVENT_GAP_MAX: u64 = 64;
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Copies {
+struct BlockCopies {
     servers: [Option<(u32, u32)>; SERVERS_PER_BLOCK],
 }
 
-/// A bounded map from prefix blocks to servers. It is a hint: a wrong entry costs a prefill without the
-/// spared part, never a wrong answer, so late and lost events are taken as they come.
+/// Bounded map from prefix blocks to the servers that probably cache them. Entries are hints: a wrong entry
+/// costs a prefill without the expected cache hit, never a wrong answer, so late and lost events are
+/// tolerated.
 ///
-/// Harm prevented by the bounds: an index of all blocks of 1,000 servers would not fit a daemon's memory.
-/// The oldest block goes first. After a wide gap in a server's events its entries are dropped by raising
-/// its epoch, because evictions among the lost events would send work to a cache that is gone.
+/// The bound keeps the index within a daemon's memory, which the blocks of 1,000 servers would exceed; the
+/// oldest block is evicted first. After a wide gap in a server's events its epoch is raised, which
+/// invalidates its entries: evictions may be among the lost events, and stale entries would send work to
+/// blocks no longer cached.
 #[derive(Debug)]
 pub struct AffinityIndex {
-    blocks: HashMap<u64, Copies>,
+    blocks: HashMap<u64, BlockCopies>,
     order: VecDeque<u64>,
     epochs: HashMap<u32, Epoch>,
     blocks_max: usize,
@@ -55,16 +56,16 @@
 }
 
 impl AffinityIndex {
-    /// An empty index of at most `blocks_max` blocks.
+    /// Creates an empty index that holds at most `blocks_max` blocks.
     pub fn new(blocks_max: usize) -> Self {
         Self { blocks: HashMap::new(), order: VecDeque::new(), epochs: HashMap::new(), blocks_max }
     }
 
-    /// Takes one event of `server`'s cache.
+    /// Applies an event of `server`'s cache.
     pub fn apply(&mut self, server: u32, event: CacheEvent) {
         let epoch = self.epochs.entry(server).or_default();
         let expected = epoch.next_seq.unwrap_or(event.seq);
-        if event.seq > expected + GAP_MAX {
+        if event.seq > expected + EVENT_GAP_MAX {
             epoch.number += 1;
         }
         epoch.next_seq = Some(event.seq.saturating_add(1).max(expected));
@@ -74,11 +75,11 @@
         }
     }
 
-    /// Notes that `server` has `block`.
+    /// Records that `server` caches `block`.
     pub fn store(&mut self, server: u32, block: u64) {
         let epoch = self.epochs.entry(server).or_default().number;
         if !self.blocks.contains_key(&block) {
-            self.make_room();
+            self.evict_oldest();
             self.order.push_back(block);
         }
         let copies = self.blocks.entry(block).or_default();
@@ -91,7 +92,7 @@
         copies.servers[0] = Some((server, epoch));
     }
 
-    /// Notes that `server` no longer has `block`.
+    /// Records that `server` no longer caches `block`.
     pub fn evict(&mut self, server: u32, block: u64) {
         let Some(copies) = self.blocks.get_mut(&block) else {
             return;
@@ -103,7 +104,7 @@
         }
     }
 
-    fn make_room(&mut self) {
+    fn evict_oldest(&mut self) {
         while self.order.len() >= self.blocks_max {
             let Some(oldest) = self.order.pop_front() else {
                 return;
@@ -112,10 +113,11 @@
         }
     }
 
-    /// Servers that probably hold the longest known prefix of `blocks`, and its length in blocks. Caches
-    /// keep prefixes, so a known block means that the shorter ones are known too, and halving finds the
-    /// last of them; where that does not hold, a shorter prefix is found, which is still right.
-    pub fn longest(&self, blocks: &[u64]) -> (usize, [Option<u32>; SERVERS_PER_BLOCK]) {
+    /// Returns the length in blocks of the longest known prefix of `blocks`, and the servers that probably
+    /// hold it. Caches keep whole prefixes, so a known block implies that the shorter prefixes are known and
+    /// a binary search finds the last one. Where that does not hold, the result is a shorter prefix, which is
+    /// still valid.
+    pub fn longest_prefix(&self, blocks: &[u64]) -> (usize, [Option<u32>; SERVERS_PER_BLOCK]) {
         let length = blocks.partition_point(|block| self.has_holder(*block));
         let Some(last) = length.checked_sub(1) else {
             return (0, [None; SERVERS_PER_BLOCK]);
--- a/crates/core/src/sched/counters.rs
+++ b/crates/core/src/sched/counters.rs
@@ -1,84 +1,84 @@
-//! What the scheduler decided and what came of it, by cause.
+//! Counters of scheduling decisions and their results.
 
 use crate::units::{Millis, Tokens};
 
-/// Why a request was refused. Nothing of it ran.
+/// Reason for refusing a request. None of its work was started.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum RefusalReason {
-    /// The partner's share cannot serve it within its target.
+    /// The partner's share of the capacity does not allow an answer within the target.
     WouldMissTarget,
     /// The partner's queue is full.
     QueueFull,
-    /// This daemon holds too many open requests.
+    /// Too many requests are open at this daemon.
     DaemonFull,
-    /// No server of the model takes work.
+    /// No server of the model accepts work.
     NoServer,
-    /// No watcher answered.
+    /// None of the watchers answered.
     Unreachable,
 }
 
-/// Why a request failed although work on it had begun.
+/// Reason for failing a request whose work had started.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum FailReason {
-    /// Its partner's retry budget is spent.
+    /// The partner's retry budget is exhausted.
     RetryBudget,
-    /// It was tried as often as allowed.
+    /// The limit on attempts was reached.
     Attempts,
 }
 
-/// Why prefill work was thrown away or done again.
+/// Cause of prefill work that was discarded or repeated.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub enum RedoCause {
-    /// The result was evicted before it could be moved.
+pub enum WasteCause {
+    /// The prefill result was evicted before its transfer.
     Evicted,
-    /// The transfer failed or stalled.
+    /// The transfer failed or timed out.
     Transfer,
-    /// The prefill server broke off or gave no answer.
+    /// The prefill server failed or did not answer.
     PrefillFailed,
-    /// The decode server broke off and could not resume.
+    /// The decode server failed and the stream could not be resumed.
     DecodeFailed,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerLeft,
 }
 
-/// Number of [`RedoCause`]s.
-const REDO_CAUSES: usize = 5;
+/// Number of [`WasteCause`]s.
+const WASTE_CAUSES: usize = 5;
 /// Number of [`RefusalReason`]s.
 const REFUSAL_REASONS: usize = 5;
 
 /// Counters of one scheduler.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Counters {
-    /// Requests that arrived.
+    /// Requests received.
     pub arrivals: u64,
-    /// Requests answered in full.
+    /// Requests answered completely.
     pub answered: u64,
-    /// Requests that met both targets.
-    pub good: u64,
-    /// Requests that failed after work had begun.
+    /// Requests that met both the first-token and the per-token target.
+    pub met_targets: u64,
+    /// Requests that failed after work had started.
     pub failed: u64,
     /// Requests refused, by reason; read with [`Counters::refused`].
     refused: [u64; REFUSAL_REASONS],
-    /// Tokens prefilled, without cached ones.
+    /// Tokens prefilled, excluding cached ones.
     pub prefill_tokens: Tokens,
-    /// Prefill tokens thrown away, by cause; read with [`Counters::wasted`].
-    wasted_tokens: [u64; REDO_CAUSES],
-    /// Retries made.
+    /// Prefill tokens discarded or repeated, by cause; read with [`Counters::wasted`].
+    wasted_tokens: [u64; WASTE_CAUSES],
+    /// Retries started.
     pub retries: u64,
     /// Retries denied by the budget.
     pub retries_denied: u64,
     /// Streams resumed at the same server.
     pub resumed: u64,
-    /// Asks whose watcher gave no answer.
+    /// Reservation requests that the watcher did not answer in time.
     pub ask_timeouts: u64,
-    /// Transfers started although a watcher was silent.
-    pub unconfirmed: u64,
-    /// Turns given back for want of a slot.
+    /// Transfers started without confirmation by an unresponsive watcher.
+    pub unconfirmed_transfers: u64,
+    /// Prefill turns released because no decode slot was available.
     pub turns_returned: u64,
 }
 
 impl RefusalReason {
-    /// All reasons, for whoever exports the counters.
+    /// All reasons, in the order of the counters.
     pub const ALL: [Self; REFUSAL_REASONS] =
         [Self::WouldMissTarget, Self::QueueFull, Self::DaemonFull, Self::NoServer, Self::Unreachable];
 
@@ -94,9 +94,9 @@
     }
 }
 
-impl RedoCause {
-    /// All causes, for whoever exports the counters.
-    pub const ALL: [Self; REDO_CAUSES] =
+impl WasteCause {
+    /// All causes, in the order of the counters.
+    pub const ALL: [Self; WASTE_CAUSES] =
         [Self::Evicted, Self::Transfer, Self::PrefillFailed, Self::DecodeFailed, Self::CallerLeft];
 
     /// Name in metrics.
@@ -112,22 +112,22 @@
 }
 
 impl Counters {
-    /// Requests refused for `reason`.
+    /// Returns the number of requests refused for `reason`.
     pub fn refused(&self, reason: RefusalReason) -> u64 {
         self.refused[reason as usize]
     }
 
-    /// Requests refused for any reason.
+    /// Returns the number of requests refused for any reason.
     pub fn refused_total(&self) -> u64 {
         self.refused.iter().sum()
     }
 
-    /// Prefill tokens thrown away or done again for `cause`.
-    pub fn wasted(&self, cause: RedoCause) -> Tokens {
+    /// Returns the prefill tokens discarded or repeated for `cause`.
+    pub fn wasted(&self, cause: WasteCause) -> Tokens {
         Tokens(self.wasted_tokens[cause as usize])
     }
 
-    /// Prefill tokens thrown away or done again for any cause.
+    /// Returns the prefill tokens discarded or repeated for any cause.
     pub fn wasted_total(&self) -> Tokens {
         Tokens(self.wasted_tokens.iter().sum())
     }
@@ -136,16 +136,16 @@
         self.refused[reason as usize] += 1;
     }
 
-    pub(super) fn count_waste(&mut self, cause: RedoCause, tokens: Tokens) {
+    pub(super) fn count_waste(&mut self, cause: WasteCause, tokens: Tokens) {
         self.wasted_tokens[cause as usize] += tokens.0;
     }
 }
 
-/// Shortest and longest Retry-After told to a caller: below, the retry only adds load; above, a caller
-/// would wait long after the surge is over.
+/// Range of the Retry-After sent to callers. A shorter delay only adds load; a longer one keeps callers away
+/// long after the overload is over.
 const RETRY_AFTER_RANGE_MS: (u64, u64) = (100, 30_000);
 
-/// Brings a forecast into the range worth telling a caller.
+/// Clamps a forecast wait to the range sent to callers.
 pub(super) fn clamp_retry_after(wait_ms: Millis) -> Millis {
     let (low, high) = RETRY_AFTER_RANGE_MS;
     Millis(wait_ms.0.clamp(low, high))
--- a/crates/core/src/sched/directory.rs
+++ b/crates/core/src/sched/directory.rs
@@ -1,4 +1,4 @@
-//! What one daemon knows of the region's engines.
+//! One daemon's view of the engines in its region.
 
 use std::collections::HashMap;
 
@@ -9,90 +9,92 @@
 use crate::slots::{Role, ServerLoad};
 use crate::units::{BytesPerSecond, Micros, Millis, MonoTime, Tokens};
 
-/// Whether the list gives a server new work.
+/// Listed state of a server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ServerState {
-    /// It takes work.
+    /// Accepts new work.
     Live,
-    /// It finishes what it has.
+    /// Completes its requests and accepts no new work.
     Leaving,
 }
 
-/// A sign of a server's state that is quicker than the list.
+/// Observed change of a server's state, available before the list shows it.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum Sign {
-    /// It answered that it is leaving.
+pub enum StateSignal {
+    /// The server answered that it is leaving.
     Leaving,
-    /// It takes work again.
+    /// The server accepts work again.
     Live,
-    /// It gave no answer.
-    Silent,
+    /// The server did not answer.
+    Unresponsive,
 }
 
-/// An engine as the platform lists it.
+/// Engine as listed by the platform.
 #[derive(Clone, Debug)]
 pub struct ServerRecord {
-    /// Its name.
+    /// Server name.
     pub server: BackendServerId,
-    /// Its data centre.
+    /// Data centre of the server.
     pub data_centre: DataCentreId,
-    /// Its role.
+    /// Role of the server.
     pub role: Role,
-    /// Models that it has loaded.
+    /// Loaded models.
     pub models: Vec<ModelId>,
-    /// Decode slots.
+    /// Number of decode slots.
     pub slots_total: u32,
-    /// Rate of its transfer link.
+    /// Bandwidth of its transfer link.
     pub link_bytes_per_s: BytesPerSecond,
-    /// Whether it takes work.
+    /// Listed state.
     pub state: ServerState,
 }
 
-/// Index of a server in the directory. Stays the same as long as the process lives.
+/// Index of a server in the directory; stable for the life of the process.
 pub(super) type ServerIndex = u32;
 
 #[derive(Clone, Debug)]
-pub(super) struct Known {
+pub(super) struct ServerEntry {
     pub(super) record: ServerRecord,
     listed: bool,
     leaving_until_us: MonoTime,
-    silent_until_us: MonoTime,
+    unresponsive_until_us: MonoTime,
     load: ServerLoad,
     as_of_us: MonoTime,
-    seen: bool,
-    asked_us: u64,
-    asked: u32,
-    trial_us: MonoTime,
+    has_report: bool,
+    asked_work_us: u64,
+    asks_since_report: u32,
+    last_probe_us: MonoTime,
 }
 
-impl Known {
-    /// Expected wait now: what was told, less the time since, plus what this daemon has asked since.
+impl ServerEntry {
+    /// Expected wait at `now_us`: the reported wait, less the time since the report, plus the work this
+    /// daemon has asked for since.
     pub(super) fn wait_us(&self, now_us: MonoTime) -> u64 {
-        self.load.wait_us.0.saturating_sub(now_us.since(self.as_of_us).0) + self.asked_us
+        self.load.wait_us.0.saturating_sub(now_us.since(self.as_of_us).0) + self.asked_work_us
     }
 
     /// Slots that are probably free.
-    pub(super) fn free(&self) -> u32 {
-        let told = if self.seen { self.load.free } else { self.record.slots_total };
-        told.saturating_sub(self.asked)
+    pub(super) fn free_slots(&self) -> u32 {
+        let reported = if self.has_report { self.load.free } else { self.record.slots_total };
+        reported.saturating_sub(self.asks_since_report)
     }
 
     pub(super) fn token_us(&self, default_us: Micros) -> u64 {
         if self.load.token_us == Micros::ZERO { default_us.0 } else { self.load.token_us.0 }
     }
 
-    /// Whether the server may get work. The list lags, so a drain sign counts before the list shows it.
-    fn usable(&self, now_us: MonoTime) -> bool {
+    /// Whether the server may be given work. The list lags, so a leaving signal takes effect before the list
+    /// shows it.
+    fn is_usable(&self, now_us: MonoTime) -> bool {
         self.listed
             && self.record.state == ServerState::Live
             && now_us >= self.leaving_until_us
-            && now_us >= self.silent_until_us
-            && (self.load.open || !self.seen || now_us >= self.as_of_us + CLOSED_MEMORY_MS)
+            && now_us >= self.unresponsive_until_us
+            && (self.load.open || !self.has_report || now_us >= self.as_of_us + CLOSED_REPORT_TTL_MS)
     }
 }
 
-/// A watcher's word that its server is closed is believed for so long; then it is asked again.
-const CLOSED_MEMORY_MS: Millis = Millis(250);
+/// Time for which a report that the server is closed is trusted before its watcher is asked again.
+const CLOSED_REPORT_TTL_MS: Millis = Millis(250);
 
 /// Servers of one model and role.
 #[derive(Clone, Debug, Default)]
@@ -100,29 +102,29 @@
     servers: Vec<ServerIndex>,
 }
 
-/// Knowledge of all engines of the region, with the pools to draw from.
+/// Known engines of the region, with a pool for each model and role to sample from.
 #[derive(Debug, Default)]
 pub struct Directory {
-    servers: Vec<Known>,
+    servers: Vec<ServerEntry>,
     names: HashMap<BackendServerId, ServerIndex>,
     pools: HashMap<(ModelId, Role), Pool>,
     slots_total: u64,
-    prefill_total: u64,
+    prefill_servers: u64,
 }
 
-/// Candidates drawn for one placement.
+/// Maximum number of candidates for one placement.
 pub(super) const CANDIDATES_MAX: usize = 8;
 
-/// What to draw for one placement.
+/// Parameters of one random sample of servers.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Draw<'a> {
     pub(super) model: &'a ModelId,
     pub(super) role: Role,
     pub(super) count: usize,
-    pub(super) without: &'a [ServerIndex],
+    pub(super) exclude: &'a [ServerIndex],
 }
 
-/// A list of candidates without allocation.
+/// Fixed-capacity list of candidates that needs no allocation.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Candidates {
     list: [ServerIndex; CANDIDATES_MAX],
@@ -143,57 +145,57 @@
 }
 
 impl Directory {
-    /// Adopts the list. Knowledge of servers that stay is kept.
+    /// Replaces the list of servers. Load data of servers that remain is kept.
     pub fn replace(&mut self, records: Vec<ServerRecord>) {
-        for known in &mut self.servers {
-            known.listed = false;
+        for entry in &mut self.servers {
+            entry.listed = false;
         }
         self.pools.clear();
         self.slots_total = 0;
-        self.prefill_total = 0;
+        self.prefill_servers = 0;
         for record in records {
-            self.adopt(record);
+            self.upsert(record);
         }
     }
 
-    fn adopt(&mut self, record: ServerRecord) {
+    fn upsert(&mut self, record: ServerRecord) {
         match record.role {
             Role::Decode => self.slots_total += u64::from(record.slots_total),
-            Role::Prefill => self.prefill_total += 1,
+            Role::Prefill => self.prefill_servers += 1,
         }
-        let index = self.index_for(&record);
+        let index = self.index_or_insert(&record);
         for model in &record.models {
             let pool = self.pools.entry((model.clone(), record.role)).or_default();
             pool.servers.push(index);
         }
-        let Some(known) = self.servers.get_mut(index as usize) else {
+        let Some(entry) = self.servers.get_mut(index as usize) else {
             return;
         };
-        if known.record.role != record.role {
-            known.load = ServerLoad::default();
-            known.seen = false;
+        if entry.record.role != record.role {
+            entry.load = ServerLoad::default();
+            entry.has_report = false;
         }
-        known.record = record;
-        known.listed = true;
+        entry.record = record;
+        entry.listed = true;
     }
 
-    fn index_for(&mut self, record: &ServerRecord) -> ServerIndex {
+    fn index_or_insert(&mut self, record: &ServerRecord) -> ServerIndex {
         if let Some(&index) = self.names.get(&record.server) {
             return index;
         }
         let index = u32::try_from(self.servers.len()).unwrap_or(u32::MAX);
         self.names.insert(record.server.clone(), index);
-        self.servers.push(Known {
+        self.servers.push(ServerEntry {
             record: record.clone(),
             listed: true,
             leaving_until_us: MonoTime(0),
-            silent_until_us: MonoTime(0),
+            unresponsive_until_us: MonoTime(0),
             load: ServerLoad::default(),
             as_of_us: MonoTime(0),
-            seen: false,
-            asked_us: 0,
-            asked: 0,
-            trial_us: MonoTime(0),
+            has_report: false,
+            asked_work_us: 0,
+            asks_since_report: 0,
+            last_probe_us: MonoTime(0),
         });
         index
     }
@@ -202,7 +204,7 @@
         self.names.get(server).copied()
     }
 
-    pub(super) fn get(&self, index: ServerIndex) -> Option<&Known> {
+    pub(super) fn get(&self, index: ServerIndex) -> Option<&ServerEntry> {
         self.servers.get(index as usize)
     }
 
@@ -210,25 +212,26 @@
         &self.servers[index as usize].record.server
     }
 
-    /// Whether any server of the model and role is listed.
+    /// Whether the list has a server for the model and role.
     pub fn serves(&self, model: &ModelId, role: Role) -> bool {
         self.pools.contains_key(&(model.clone(), role))
     }
 
-    /// Prefill servers for each decode slot: turns slot time into the prefill time of the same share.
-    pub(super) fn slot_weight(&self) -> f64 {
-        self.prefill_total as f64 / self.slots_total.max(1) as f64
+    /// Ratio of prefill servers to decode slots: converts slot time into the prefill time of an equal share
+    /// of capacity.
+    pub(super) fn prefill_servers_per_slot(&self) -> f64 {
+        self.prefill_servers as f64 / self.slots_total.max(1) as f64
     }
 
-    /// Draws servers at random that may get work, leaving out `without`. A fixed number of draws: the cost
-    /// does not grow with the pool. When the draws find none although some may be there, the pool is
-    /// walked once: with most of a pool cut off, the rest must still be found.
+    /// Samples usable servers at random, skipping `draw.exclude`. The number of draws is fixed, so the cost
+    /// does not grow with the pool. If no draw finds a usable server, the pool is scanned once: when most of
+    /// it is unreachable, the rest must still be found.
     pub(super) fn sample(&self, now_us: MonoTime, draw: Draw<'_>, rng: &mut StdRng, found: &mut Candidates) {
-        let Draw { model, role, count, without } = draw;
+        let Draw { model, role, count, exclude } = draw;
         let Some(pool) = self.pools.get(&(model.clone(), role)) else {
             return;
         };
-        let usable = |index: ServerIndex| !without.contains(&index) && self.is_usable(now_us, index);
+        let usable = |index: ServerIndex| !exclude.contains(&index) && self.is_usable(now_us, index);
         if pool.servers.len() <= count {
             pool.servers.iter().copied().filter(|&index| usable(index)).for_each(|index| found.push(index));
             return;
@@ -250,83 +253,89 @@
     }
 
     pub(super) fn is_usable(&self, now_us: MonoTime, index: ServerIndex) -> bool {
-        self.get(index).is_some_and(|known| known.usable(now_us))
+        self.get(index).is_some_and(|entry| entry.is_usable(now_us))
     }
 
-    pub(super) fn learn(&mut self, now_us: MonoTime, index: ServerIndex, load: ServerLoad, age_us: Micros) {
-        let Some(known) = self.servers.get_mut(index as usize) else {
+    pub(super) fn update_load(
+        &mut self,
+        now_us: MonoTime,
+        index: ServerIndex,
+        load: ServerLoad,
+        age_us: Micros,
+    ) {
+        let Some(entry) = self.servers.get_mut(index as usize) else {
             return;
         };
         let as_of_us = MonoTime(now_us.0.saturating_sub(age_us.0));
-        if known.seen && as_of_us < known.as_of_us {
+        if entry.has_report && as_of_us < entry.as_of_us {
             return;
         }
-        known.load = load;
-        known.as_of_us = as_of_us;
-        known.seen = true;
-        known.asked_us = 0;
-        known.asked = 0;
+        entry.load = load;
+        entry.as_of_us = as_of_us;
+        entry.has_report = true;
+        entry.asked_work_us = 0;
+        entry.asks_since_report = 0;
     }
 
-    pub(super) fn note_ask(&mut self, index: ServerIndex, work_us: Micros, copies: u8) {
-        if let Some(known) = self.servers.get_mut(index as usize) {
-            known.asked_us += work_us.0 / u64::from(copies.max(1));
-            known.asked += 1;
+    pub(super) fn record_ask(&mut self, index: ServerIndex, work_us: Micros, copies: u8) {
+        if let Some(entry) = self.servers.get_mut(index as usize) {
+            entry.asked_work_us += work_us.0 / u64::from(copies.max(1));
+            entry.asks_since_report += 1;
         }
     }
 
-    pub(super) fn silence(&mut self, index: ServerIndex, until_us: MonoTime) {
-        if let Some(known) = self.servers.get_mut(index as usize) {
-            known.silent_until_us = until_us;
+    pub(super) fn mark_unresponsive(&mut self, index: ServerIndex, until_us: MonoTime) {
+        if let Some(entry) = self.servers.get_mut(index as usize) {
+            entry.unresponsive_until_us = until_us;
         }
     }
 
-    /// Takes a sign that holds until `until_us`, unless another comes.
-    pub(super) fn sign(&mut self, index: ServerIndex, sign: Sign, until_us: MonoTime) {
-        let Some(known) = self.servers.get_mut(index as usize) else {
+    /// Applies a state signal that holds until `until_us` or the next signal.
+    pub(super) fn apply_signal(&mut self, index: ServerIndex, signal: StateSignal, until_us: MonoTime) {
+        let Some(entry) = self.servers.get_mut(index as usize) else {
             return;
         };
-        match sign {
-            Sign::Leaving => known.leaving_until_us = until_us,
-            Sign::Live => {
-                known.leaving_until_us = MonoTime(0);
-                known.silent_until_us = MonoTime(0);
+        match signal {
+            StateSignal::Leaving => entry.leaving_until_us = until_us,
+            StateSignal::Live => {
+                entry.leaving_until_us = MonoTime(0);
+                entry.unresponsive_until_us = MonoTime(0);
             }
-            Sign::Silent => known.silent_until_us = until_us,
+            StateSignal::Unresponsive => entry.unresponsive_until_us = until_us,
         }
     }
 
-    /// Whether the server's speed was ever seen.
-    pub(super) fn speed_is_known(&self, index: ServerIndex) -> bool {
-        self.get(index).is_some_and(|known| known.load.token_us > Micros::ZERO)
+    /// Whether the server's speed has been measured.
+    pub(super) fn has_measured_speed(&self, index: ServerIndex) -> bool {
+        self.get(index).is_some_and(|entry| entry.load.token_us > Micros::ZERO)
     }
 
-    /// Whether a decode server keeps the class's pace. One that does not still gets a request now and then,
-    /// or nobody would see that it recovered.
-    pub(super) fn keeps_pace(
+    /// Whether a decode server may be given a request with this per-token target. A server that is too slow
+    /// still gets one request per `probe_interval_ms`, so that its recovery is noticed.
+    pub(super) fn accepts_decode(
         &mut self,
         now_us: MonoTime,
         index: ServerIndex,
         target_ms: Millis,
-        trial_ms: Millis,
+        probe_interval_ms: Millis,
     ) -> bool {
-        let Some(known) = self.servers.get_mut(index as usize) else {
+        let Some(entry) = self.servers.get_mut(index as usize) else {
             return false;
         };
-        let slow = target_ms.0 > 0 && known.load.token_us > Micros::from(target_ms);
+        let slow = target_ms.0 > 0 && entry.load.token_us > Micros::from(target_ms);
         if !slow {
             return true;
         }
-        if now_us < known.trial_us + trial_ms {
+        if now_us < entry.last_probe_us + probe_interval_ms {
             return false;
         }
-        known.trial_us = now_us;
+        entry.last_probe_us = now_us;
         true
     }
 
-    /// Time that `tokens` take at the server.
+    /// Time that the server needs for `tokens`.
     pub(super) fn work_us(&self, index: ServerIndex, tokens: Tokens, default_us: Micros) -> Micros {
-        let token_us = self.get(index).map_or(default_us.0, |known| known.token_us(default_us));
+        let token_us = self.get(index).map_or(default_us.0, |entry| entry.token_us(default_us));
         Micros(token_us * tokens.0)
     }
 }
--- a/crates/core/src/sched/events.rs
+++ b/crates/core/src/sched/events.rs
@@ -1,4 +1,4 @@
-//! What the scheduler is told and what it wants done.
+//! Inputs and outputs of the scheduler.
 
 use crate::ids::{BackendServerId, ClassName, ModelId, PartnerId, RequestId};
 use crate::outcome::AttemptEnd;
@@ -6,64 +6,63 @@
 use crate::units::{Bytes, BytesPerSecond, Micros, Millis, MonoTime, Tokens};
 
 use super::affinity::CacheEvent;
-use super::counters::{FailReason, RedoCause, RefusalReason};
-use super::directory::{ServerRecord, Sign};
+use super::counters::{FailReason, RefusalReason, WasteCause};
+use super::directory::{ServerRecord, StateSignal};
 
-/// Number of an attempt at one request. Results of an earlier attempt come back under its number and are
-/// dropped.
+/// Attempt number of a request. Results that carry the number of an earlier attempt are ignored.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Attempt(pub u32);
 
-/// A request as it came in.
+/// Newly received request.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Its id.
+    /// Request ID.
     pub request_id: RequestId,
-    /// Who sent it.
+    /// Partner that sent it.
     pub partner: PartnerId,
-    /// Its class of work.
+    /// Request class.
     pub class: ClassName,
-    /// The model it wants.
+    /// Requested model.
     pub model: ModelId,
-    /// Length of its prompt.
+    /// Prompt length.
     pub prompt_tokens: Tokens,
-    /// Longest answer it wants.
+    /// Maximum answer length.
     pub max_tokens: Tokens,
     /// Hashes of the prompt's prefix blocks, shortest prefix first.
     pub blocks: Vec<u64>,
-    /// Target of its class for the first token.
+    /// First-token target of the class.
     pub first_token_target_ms: Millis,
-    /// Target of its class for each further token; zero for none.
+    /// Target of the class for each further token; zero for none.
     pub per_token_target_ms: Millis,
 }
 
-/// A step of a request at an engine.
+/// Step of a request at an engine.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum WorkStage {
-    /// Reading the prompt.
+    /// Prefill of the prompt.
     Prefill,
-    /// Moving the KV cache.
+    /// Transfer of the KV cache to the decode server.
     Import,
-    /// Writing the answer.
+    /// Generation of the answer.
     Decode,
 }
 
-/// Why a step failed.
+/// Reason for the failure of a step.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum FailureCause {
-    /// The server could not be reached; nothing was sent.
+    /// The server was unreachable; nothing was sent.
     NotSent,
-    /// The server takes no more requests for now, by the limit that it states; nothing was sent.
+    /// The server's published rate limit is used up; nothing was sent.
     Limited,
-    /// No answer in time, or a stream gone silent.
+    /// No answer in time, or a stream that stalled.
     Timeout,
-    /// The connection broke.
+    /// The connection was lost.
     Broken,
-    /// The server has no room (429).
+    /// The server has no capacity (429).
     NoRoom,
     /// The server is leaving (503).
     Leaving,
-    /// What was asked for is no longer there (410).
+    /// The requested data no longer exists (410).
     Gone,
     /// Any other refusal.
     Refused,
@@ -72,11 +71,11 @@
 impl FailureCause {
     /// Whether a request that was sent whole to one server may have run there.
     pub fn may_have_run(self) -> bool {
-        self.proves() == AttemptEnd::MayHaveRun
+        self.attempt_end() == AttemptEnd::MayHaveRun
     }
 
-    /// What it proves of a try at a request that is sent whole to one server.
-    pub(crate) fn proves(self) -> AttemptEnd {
+    /// What the failure proves about an attempt that was sent whole to one server.
+    pub(crate) fn attempt_end(self) -> AttemptEnd {
         match self {
             Self::NotSent | Self::Limited => AttemptEnd::NotSent,
             Self::NoRoom | Self::Leaving => AttemptEnd::Declined,
@@ -85,180 +84,180 @@
     }
 }
 
-/// Something the scheduler has to know.
+/// Input of the scheduler.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A request came in.
+    /// A request arrived.
     Arrive(Arrival),
-    /// An answer of a watcher.
+    /// A watcher sent a message.
     Slot(SlotMessage),
-    /// A prompt was read.
+    /// A prefill completed.
     PrefillDone {
-        /// Which request.
+        /// Request ID.
         request_id: RequestId,
-        /// Which attempt.
+        /// Attempt number.
         attempt: Attempt,
-        /// Size of the result.
+        /// Size of the KV cache.
         kv_bytes: Bytes,
-        /// Tokens that the prefix cache spared.
+        /// Tokens served from the prefix cache.
         cached_tokens: Tokens,
-        /// For how long the result is kept.
+        /// Time until the engine evicts the result.
         evict_after_ms: Millis,
     },
-    /// The KV cache is at the decode server.
+    /// The KV cache arrived at the decode server.
     Imported {
-        /// Which request.
+        /// Request ID.
         request_id: RequestId,
-        /// Which attempt.
+        /// Attempt number.
         attempt: Attempt,
     },
-    /// The first token of the answer went to the caller.
+    /// The first token was sent to the caller.
     FirstToken {
-        /// Which request.
+        /// Request ID.
         request_id: RequestId,
     },
-    /// So many tokens have gone to the caller; told every few hundred milliseconds.
+    /// Progress of the answer, reported every few hundred milliseconds.
     Progress {
-        /// Which request.
+        /// Request ID.
         request_id: RequestId,
-        /// Tokens of the whole answer so far.
+        /// Total tokens of the answer so far.
         tokens: Tokens,
     },
     /// The answer is complete.
     Finished {
-        /// Which request.
+        /// Request ID.
         request_id: RequestId,
-        /// Tokens of the answer.
+        /// Total tokens of the answer.
         tokens: Tokens,
     },
     /// A step failed.
     Failed {
-        /// Which request.
+        /// Request ID.
         request_id: RequestId,
-        /// Which attempt.
+        /// Attempt number.
         attempt: Attempt,
-        /// Which step.
+        /// Failed step.
         stage: WorkStage,
-        /// Why.
+        /// Reason.
         cause: FailureCause,
-        /// Tokens that went to the caller so far.
+        /// Tokens sent to the caller so far.
         tokens: Tokens,
     },
     /// The caller closed its connection.
     CallerLeft {
-        /// Which request.
+        /// Request ID.
         request_id: RequestId,
     },
-    /// Load of a server, learned in another way than by asking.
+    /// Load of a server from a source other than a watcher reply.
     Load {
-        /// Which server.
+        /// Server name.
         server: BackendServerId,
-        /// What is known.
+        /// Reported load.
         load: ServerLoad,
-        /// Age of it.
+        /// Age of the report.
         age_us: Micros,
     },
-    /// News of a server's prefix cache; late and with gaps.
+    /// Events of a server's prefix cache; may be late and incomplete.
     Cache {
-        /// Which server.
+        /// Server name.
         server: BackendServerId,
-        /// The events.
+        /// Cache events in order.
         events: Vec<CacheEvent>,
     },
-    /// A sign of a server's state, quicker than the list.
-    Sign {
-        /// Which server.
+    /// Observed change of a server's state, available before the list shows it.
+    StateSignal {
+        /// Server name.
         server: BackendServerId,
-        /// What it shows.
-        sign: Sign,
+        /// Observed state.
+        signal: StateSignal,
     },
-    /// The engines of the region, all of them.
+    /// Complete list of the engines of the region.
     Servers(Vec<ServerRecord>),
-    /// Another daemon watches this server from now on.
+    /// A new watcher took over this server.
     WatcherChanged {
-        /// Which server.
+        /// Server name.
         server: BackendServerId,
     },
-    /// Time passed.
+    /// A requested wake-up time was reached.
     Tick,
 }
 
-/// Something the scheduler wants done.
+/// Output of the scheduler.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send to the watcher of the message's server, which may be in this process.
+    /// Send the message to the watcher of its server, which may run in this process.
     Send(SlotMessage),
-    /// Read the prompt.
+    /// Start the prefill.
     StartPrefill {
-        /// Which request.
+        /// Request ID.
         request_id: RequestId,
-        /// Which attempt.
+        /// Attempt number.
         attempt: Attempt,
-        /// Where.
+        /// Target server.
         server: BackendServerId,
-        /// Tokens already answered, to be read after the prompt.
+        /// Tokens already generated, to be prefilled after the prompt.
         from_index: Tokens,
-        /// Smaller goes first at the engine.
+        /// Engine priority; lower values run first.
         priority: u8,
-        /// Why it is done again, if it is.
-        redo: Option<RedoCause>,
+        /// Why the previous attempt was abandoned; `None` for the first attempt.
+        restart_cause: Option<WasteCause>,
     },
-    /// Move the KV cache.
+    /// Transfer the KV cache.
     Import {
-        /// Which request.
+        /// Request ID.
         request_id: RequestId,
-        /// Which attempt.
+        /// Attempt number.
         attempt: Attempt,
-        /// From which prefill server.
+        /// Source prefill server.
         source: BackendServerId,
-        /// To which decode server.
+        /// Target decode server.
         server: BackendServerId,
-        /// Smaller goes first.
+        /// Engine priority; lower values run first.
         priority: u8,
-        /// Share of the link.
+        /// Granted share of the link.
         rate_bytes_per_s: BytesPerSecond,
     },
-    /// Write the answer.
+    /// Generate the answer.
     Decode {
-        /// Which request.
+        /// Request ID.
         request_id: RequestId,
-        /// Which attempt.
+        /// Attempt number.
         attempt: Attempt,
-        /// Where.
+        /// Target server.
         server: BackendServerId,
-        /// First token wanted.
+        /// Index of the first token to send.
         from_index: Tokens,
-        /// Whether an earlier stream broke: use a new connection.
+        /// Whether this resumes a broken stream, which needs a new connection.
         resume: bool,
-        /// Time without a token after which the stream counts as silent.
-        silence_ms: Millis,
+        /// Longest time between tokens before the stream counts as stalled.
+        token_timeout_ms: Millis,
     },
-    /// Release what the request holds at the server; to be repeated until confirmed.
+    /// Release what the request holds at the server; repeated until confirmed.
     Cancel {
-        /// Which request.
+        /// Request ID.
         request_id: RequestId,
-        /// Where.
+        /// Target server.
         server: BackendServerId,
     },
-    /// Tell the caller that nothing ran.
+    /// Refuse the request; nothing ran.
     Refuse {
-        /// Which request.
+        /// Request ID.
         request_id: RequestId,
-        /// Why.
+        /// Reason.
         reason: RefusalReason,
-        /// When another try is worth making.
+        /// Time after which a retry is useful.
         retry_after_ms: Millis,
     },
-    /// Tell the caller that the answer cannot be had or completed.
+    /// Fail the request: the answer cannot be started or completed.
     Fail {
-        /// Which request.
+        /// Request ID.
         request_id: RequestId,
-        /// Why.
+        /// Reason.
         reason: FailReason,
     },
-    /// Send `Event::Tick` at this time.
+    /// Send [`Event::Tick`] at this time.
     Wake {
-        /// When.
+        /// Wake-up time.
         at_us: MonoTime,
     },
 }
--- a/crates/core/src/sched/failing.rs
+++ b/crates/core/src/sched/failing.rs
@@ -1,4 +1,4 @@
-//! A request that failed at some step, was given up, or whose caller left.
+//! Handling of failed steps, abandoned attempts and callers that disconnect.
 
 use rand::RngExt;
 
@@ -6,21 +6,21 @@
 use crate::slots::GrantOutcome;
 use crate::units::{Micros, MonoTime, Tokens};
 
-use super::counters::{FailReason, RedoCause};
-use super::directory::Sign;
+use super::counters::{FailReason, WasteCause};
+use super::directory::StateSignal;
 use super::events::{Action, Attempt, FailureCause, WorkStage};
 use super::request::{Hold, Request, Stage};
 use super::scheduler::Scheduler;
 
 impl Scheduler {
-    /// The caller went away: everything is given back at once, wherever the request is.
+    /// Ends the request of a caller that disconnected and releases everything it holds, in any stage.
     pub(super) fn caller_left(&mut self, request_id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.close(request_id, GrantOutcome::Abandoned, actions) else {
             return;
         };
         self.cancel_holds(&request, actions);
         if request.stage != Stage::Decoding {
-            self.counters.count_waste(RedoCause::CallerLeft, request.prefilled);
+            self.counters.count_waste(WasteCause::CallerLeft, request.prefilled);
         }
     }
 
@@ -87,24 +87,24 @@
             return;
         };
         request.failed_at = request.turn.map(|turn| turn.server);
-        // What may have been read by now is lost work; a refusal read nothing.
+        // After a timeout or lost connection the whole prefill counts as wasted; a refusal did no work.
         if matches!(cause, FailureCause::Timeout | FailureCause::Broken) {
             request.prefilled = request.uncached_tokens;
         }
         self.note_leaving(now_us, request_id, cause);
-        self.redo(now_us, request_id, RedoCause::PrefillFailed, outcome_of(cause), actions);
+        self.restart(now_us, request_id, WasteCause::PrefillFailed, outcome_of(cause), actions);
     }
 
     pub(super) fn note_leaving(&mut self, now_us: MonoTime, request_id: RequestId, cause: FailureCause) {
         let server = self.requests.get(&request_id).and_then(|request| request.failed_at);
         if let (Some(server), FailureCause::Leaving) = (server, cause) {
-            let until_us = self.sign_until(now_us, Sign::Leaving);
-            self.directory.sign(server, Sign::Leaving, until_us);
+            let until_us = self.signal_expiry(now_us, StateSignal::Leaving);
+            self.directory.apply_signal(server, StateSignal::Leaving, until_us);
         }
     }
 
-    /// The transfer failed. If the decode server had no room or could not be reached the result is still at
-    /// its source and another slot may do; otherwise the prompt is read again.
+    /// Handles a failed transfer. If the decode server had no capacity or was unreachable, the result is
+    /// still at its source and another slot is requested; otherwise the prefill is repeated.
     pub(super) fn import_failed(
         &mut self,
         now_us: MonoTime,
@@ -118,18 +118,20 @@
         let slot = request.slot.take();
         request.failed_at = slot.map(|slot| slot.server);
         self.cancel_slot(request_id, slot, outcome_of(cause), actions);
-        let elsewhere = matches!(cause, FailureCause::NoRoom | FailureCause::NotSent | FailureCause::Leaving);
-        if elsewhere {
-            request.enter(now_us, Stage::AwaitRoom);
+        let result_kept =
+            matches!(cause, FailureCause::NoRoom | FailureCause::NotSent | FailureCause::Leaving);
+        if result_kept {
+            request.enter(now_us, Stage::AwaitTransfer);
         }
         self.requests.insert(request_id, request);
         self.note_leaving(now_us, request_id, cause);
-        if elsewhere {
+        if result_kept {
             self.ask_slot(now_us, request_id, actions);
             return;
         }
-        let redo = if cause == FailureCause::Gone { RedoCause::Evicted } else { RedoCause::Transfer };
-        self.redo(now_us, request_id, redo, GrantOutcome::Abandoned, actions);
+        let restart_cause =
+            if cause == FailureCause::Gone { WasteCause::Evicted } else { WasteCause::Transfer };
+        self.restart(now_us, request_id, restart_cause, GrantOutcome::Abandoned, actions);
     }
 
     pub(super) fn cancel_slot(
@@ -146,9 +148,9 @@
         self.release_hold(request_id, slot, outcome, actions);
     }
 
-    /// A broken stream: the connection is suspected first and the stream resumed at the same server by
-    /// index, on a new connection; that costs nothing. Only when this fails too is the prompt, with the
-    /// tokens so far, read again elsewhere.
+    /// Handles a broken stream. The connection is the likely cause, so the stream is first resumed by index
+    /// at the same server on a new connection, which repeats no work. If that fails too, the prompt and the
+    /// tokens so far are prefilled again elsewhere.
     pub(super) fn decode_failed(
         &mut self,
         now_us: MonoTime,
@@ -163,7 +165,7 @@
         if let Some(slot) = request.slot.filter(|_| resumable && !request.resumed) {
             request.resumed = true;
             let (attempt, from_index) = (request.attempt, request.tokens);
-            let silence_ms = self.silence_ms(slot.server);
+            let token_timeout_ms = self.token_timeout_ms(slot.server);
             self.counters.resumed += 1;
             actions.push(Action::Decode {
                 request_id,
@@ -171,21 +173,21 @@
                 server: self.directory.name(slot.server).clone(),
                 from_index,
                 resume: true,
-                silence_ms,
+                token_timeout_ms,
             });
             return;
         }
         request.failed_at = request.slot.map(|slot| slot.server);
-        self.redo(now_us, request_id, RedoCause::DecodeFailed, outcome_of(cause), actions);
+        self.restart(now_us, request_id, WasteCause::DecodeFailed, outcome_of(cause), actions);
     }
 
-    /// Gives up an attempt and starts another, if the partner's budget allows. What the engines hold is
-    /// cancelled first: an attempt given up must not keep memory, nor answer.
-    pub(super) fn redo(
+    /// Abandons the attempt and starts another if the partner's budget allows. What the engines hold is
+    /// cancelled first, so that the abandoned attempt neither keeps memory nor produces an answer.
+    pub(super) fn restart(
         &mut self,
         now_us: MonoTime,
         request_id: RequestId,
-        cause: RedoCause,
+        cause: WasteCause,
         outcome: GrantOutcome,
         actions: &mut Vec<Action>,
     ) {
@@ -194,23 +196,31 @@
         };
         self.withdraw_asks(&mut request, actions);
         self.cancel_holds(&request, actions);
-        let at_prefill = cause == RedoCause::PrefillFailed;
-        let (turn_outcome, slot_outcome) =
-            if at_prefill { (outcome, GrantOutcome::Unused) } else { (GrantOutcome::Abandoned, outcome) };
+        let is_prefill_failure = cause == WasteCause::PrefillFailed;
+        let (turn_outcome, slot_outcome) = if is_prefill_failure {
+            (outcome, GrantOutcome::Unused)
+        } else {
+            (GrantOutcome::Abandoned, outcome)
+        };
         self.release_hold(request_id, request.turn.take(), turn_outcome, actions);
         self.release_hold(request_id, request.slot.take(), slot_outcome, actions);
         self.counters.count_waste(cause, std::mem::take(&mut request.prefilled));
-        request.redo = Some(cause);
+        request.restart_cause = Some(cause);
         self.requests.insert(request_id, request);
-        self.retry_later(now_us, request_id, actions);
+        self.retry_after_backoff(now_us, request_id, actions);
     }
 
-    /// Retries after a back-off, or fails the request.
+    /// Schedules a retry after a back-off, or fails the request.
     ///
-    /// The back-off is drawn at random below a bound that doubles, so that requests failed by one fault do
-    /// not come back in step. Attempts are bounded, because a request that fails everywhere is more likely
-    /// the cause than the victim.
-    pub(super) fn retry_later(&mut self, now_us: MonoTime, request_id: RequestId, actions: &mut Vec<Action>) {
+    /// The back-off is drawn at random below a bound that doubles with each attempt, so that requests failed
+    /// by one fault do not retry in lockstep. Attempts are bounded, because a request that fails at every
+    /// server is more likely the cause of the failures than their victim.
+    pub(super) fn retry_after_backoff(
+        &mut self,
+        now_us: MonoTime,
+        request_id: RequestId,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(request) = self.requests.get_mut(&request_id) else {
             return;
         };
@@ -227,8 +237,8 @@
         request.enter(now_us, Stage::Backoff);
         request.rounds = 0;
         request.tried = Default::default();
-        let doubled = request.attempt.0.min(MAX_DOUBLINGS);
-        let longest_us = Micros::from(self.settings.backoff_ms).0 << doubled;
+        let doublings = request.attempt.0.min(MAX_DOUBLINGS);
+        let longest_us = Micros::from(self.settings.backoff_ms).0 << doublings;
         let pause_us = self.rng.random_range(0..=longest_us);
         self.set_timer(request_id, now_us + Micros(pause_us));
     }
@@ -240,11 +250,11 @@
     }
 }
 
-/// Bound of the shift in the back-off.
+/// Maximum number of doublings of the back-off.
 const MAX_DOUBLINGS: u32 = 6;
 
-/// What a failure says about the server. Only silence and broken connections count against it: a refusal
-/// for want of room is the ledger's error, and a leaving server is not ill.
+/// Maps a failure to what it indicates about the server. Only timeouts and lost connections count against it:
+/// a refusal for lack of capacity is an accounting error of the ledger, and a leaving server is not faulty.
 fn outcome_of(cause: FailureCause) -> GrantOutcome {
     match cause {
         FailureCause::Timeout => GrantOutcome::TimedOut,
--- a/crates/core/src/sched/mod.rs
+++ b/crates/core/src/sched/mod.rs
@@ -1,8 +1,8 @@
-//! Decisions under load for language requests: admitting, queueing, placing, retrying, refusing.
+//! Scheduling of language requests under load: admission, queueing, placement, retries and refusals.
 //!
-//! One [`Scheduler`] runs in each daemon and decides for the requests that arrived there. It takes the
-//! present time and an [`Event`] and pushes [`Action`]s into a list of the caller. What several daemons
-//! share is decided by the watchers of the servers, see [`crate::slots`].
+//! Each daemon runs one [`Scheduler`] for the requests that arrive at it. The scheduler takes the current
+//! time and an [`Event`] and appends [`Action`]s to the caller's list. Reservations shared by several daemons
+//! are decided by the watcher of each server, see [`crate::slots`].
 
 mod affinity;
 mod counters;
@@ -23,8 +23,8 @@
 mod slot;
 
 pub use affinity::{AffinityIndex, CacheEvent, CacheEventKind};
-pub use counters::{Counters, FailReason, RedoCause, RefusalReason};
-pub use directory::{Directory, ServerRecord, ServerState, Sign};
+pub use counters::{Counters, FailReason, RefusalReason, WasteCause};
+pub use directory::{Directory, ServerRecord, ServerState, StateSignal};
 pub use events::{Action, Arrival, Attempt, Event, FailureCause, WorkStage};
 pub use instance::{InstanceSettings, LimitReached};
 pub use plain::{PlainScheduler, PlainSettings};
--- a/crates/core/src/sched/placing.rs
+++ b/crates/core/src/sched/placing.rs
@@ -1,4 +1,4 @@
-//! Which servers a request asks, and what it does with their answers.
+//! Selection of prefill servers for a request, and handling of the results.
 
 use crate::ids::RequestId;
 use crate::slots::{Ask, Role, SlotMessage};
@@ -10,7 +10,7 @@
 use super::request::{OpenAsk, Request, Stage};
 use super::scheduler::Scheduler;
 
-/// A server with its score; smaller is better.
+/// Candidate server with its score; lower is better.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Scored {
     pub(super) server: ServerIndex,
@@ -20,25 +20,26 @@
 
 const PERCENT: u64 = 100;
 pub(super) const MICROS_PER_SECOND: u64 = 1_000_000;
-/// An estimate of a transfer counts on this part of the link, as a divisor.
-const LINK_PART: u64 = 2;
+/// Transfer estimates assume the link bandwidth divided by this.
+const ASSUMED_LINK_DIVISOR: u64 = 2;
 
 impl Scheduler {
-    /// Asks for a turn at the best two of a few servers.
+    /// Requests a prefill turn at the two best of a few sampled servers.
     ///
-    /// Load: near full, each daemon's knowledge stale by a few messages. Harm prevented: all daemons taking
-    /// the same server for the least loaded, and a request stuck behind a slow one. Two servers are asked at
-    /// once and the first to have room gets the request (late binding, as the probes of Sparrow; the load in
-    /// each reply follows the advertised load of the hybrid-scheduling paper, section 4.8). Two and not
-    /// more: the second choice brings nearly all of the gain, and each ask costs messages.
+    /// Near capacity, a daemon's load data is stale by a few messages, so daemons that each pick the least
+    /// loaded server all pick the same one, and a request can be stuck behind a slow server. Two servers are
+    /// therefore asked at once and the first with capacity gets the request: late binding, as with the probes
+    /// of Sparrow; the load in each reply follows the advertised load of the hybrid-scheduling paper, section
+    /// 4.8. No more than two are asked: the second choice brings nearly all of the gain, and each ask costs
+    /// messages.
     pub(super) fn ask_turn(&mut self, now_us: MonoTime, request_id: RequestId, actions: &mut Vec<Action>) {
         let Some(mut request) = self.requests.remove(&request_id) else {
             return;
         };
         request.enter(now_us, Stage::AwaitTurn);
         let best = self.turn_candidates(now_us, &request);
-        let best = self.in_time_first(now_us, &request, best);
-        let copies = copies_for(&best);
+        let best = self.prefer_on_time(now_us, &request, best);
+        let copies = ask_count(&best);
         for scored in best.into_iter().flatten().take(usize::from(copies)) {
             self.send_turn_ask(now_us, &mut request, scored, copies, actions);
         }
@@ -52,63 +53,69 @@
     }
 
     fn turn_candidates(&mut self, now_us: MonoTime, request: &Request) -> [Option<Scored>; 2] {
-        let mut without = [ServerIndex::MAX; super::request::TRIED_MAX + 1];
+        let mut exclude = [ServerIndex::MAX; super::request::TRIED_MAX + 1];
         let tried = request.tried.iter().chain([&request.failed_at]);
-        for (place, server) in without.iter_mut().zip(tried) {
-            *place = server.unwrap_or(ServerIndex::MAX);
+        for (excluded, server) in exclude.iter_mut().zip(tried) {
+            *excluded = server.unwrap_or(ServerIndex::MAX);
         }
         let mut found = Candidates::default();
         let draw = Draw {
             model: &request.arrival.model,
             role: Role::Prefill,
-            count: self.settings.sample,
-            without: &without,
+            count: self.settings.sample_size,
+            exclude: &exclude,
         };
         self.directory.sample(now_us, draw, &mut self.rng, &mut found);
-        let (length, holders) = self.affinity.longest(&request.arrival.blocks);
+        let (length, holders) = self.affinity.longest_prefix(&request.arrival.blocks);
         for holder in holders.into_iter().flatten() {
-            let prefill = self.directory.get(holder).is_some_and(|known| known.record.role == Role::Prefill);
-            if prefill && !without.contains(&holder) && self.directory.is_usable(now_us, holder) {
+            let prefill = self.directory.get(holder).is_some_and(|entry| entry.record.role == Role::Prefill);
+            if prefill && !exclude.contains(&holder) && self.directory.is_usable(now_us, holder) {
                 found.push(holder);
             }
         }
-        let cached = Tokens(length as u64 * self.settings.block_tokens);
+        let prefix_tokens = Tokens(length as u64 * self.settings.block_tokens);
         let scored = found.as_slice().iter().map(|&server| {
-            let spared = if holders.contains(&Some(server)) { cached } else { Tokens::ZERO };
-            self.score_turn(now_us, request, server, spared)
+            let cached_tokens = if holders.contains(&Some(server)) { prefix_tokens } else { Tokens::ZERO };
+            self.score_turn(now_us, request, server, cached_tokens)
         });
         best_two(scored)
     }
 
-    /// Leaves out servers too slow to meet the target if another could, or could a moment ago: as a late
-    /// request it would be taken in there, behind everybody, although it is not lost yet.
-    fn in_time_first(
+    /// Drops servers too slow to meet the target if another server can meet it, or could a moment ago. They
+    /// would queue the request as late, behind all others, although it can still meet its target elsewhere.
+    fn prefer_on_time(
         &self,
         now_us: MonoTime,
         request: &Request,
         best: [Option<Scored>; 2],
     ) -> [Option<Scored>; 2] {
-        let in_time = |scored: &Scored| {
+        let is_on_time = |scored: &Scored| {
             let default_us = self.settings.prefill_token_us;
             let work_us = self.directory.work_us(scored.server, scored.uncached_tokens, default_us);
             self.turn_slack(now_us, request, scored.server, work_us).is_some()
         };
-        let kept = best.map(|scored| scored.filter(in_time));
+        let on_time = best.map(|scored| scored.filter(is_on_time));
         let was_denied = request.retry_after_ms.is_some() && !request.has_run();
-        match kept {
+        match on_time {
             [None, None] if !was_denied => best,
             [None, second] => [second, None],
-            _ => kept,
+            _ => on_time,
         }
     }
 
-    /// Expected time to the end of the prefill. The wait is part of it, so that a hot prefix does not
-    /// overload the server that holds it: once the wait there exceeds what the cache spares, the request
-    /// goes elsewhere, and the prefix lives in two places from then on.
-    fn score_turn(&self, now_us: MonoTime, request: &Request, server: ServerIndex, spared: Tokens) -> Scored {
-        let uncached_tokens = request.prefill_tokens().saturating_sub(spared).max(Tokens(1));
+    /// Scores a server by the expected time to the end of the prefill. It includes the wait, so that a hot
+    /// prefix does not overload the server that caches it: once the wait there exceeds the time that the
+    /// cache saves, the request goes elsewhere and the prefix is cached at both servers from then on.
+    fn score_turn(
+        &self,
+        now_us: MonoTime,
+        request: &Request,
+        server: ServerIndex,
+        cached_tokens: Tokens,
+    ) -> Scored {
+        let uncached_tokens = request.prefill_tokens().saturating_sub(cached_tokens).max(Tokens(1));
         let work_us = self.directory.work_us(server, uncached_tokens, self.settings.prefill_token_us);
-        let wait_us = self.directory.get(server).map_or(0, |known| known.wait_us(now_us));
+        let wait_us = self.directory.get(server).map_or(0, |entry| entry.wait_us(now_us));
         Scored { server, score_us: wait_us + work_us.0, uncached_tokens }
     }
 
@@ -126,13 +133,13 @@
             sent_us: now_us,
             queued: false,
             copies,
-            bold: false,
+            speculative: false,
             work_tokens: scored.uncached_tokens,
         };
         let message = self.turn_ask(now_us, request, &open);
         let work_us = self.directory.work_us(open.server, open.work_tokens, self.settings.prefill_token_us);
-        self.directory.note_ask(open.server, work_us, copies);
-        place_ask(request, open);
+        self.directory.record_ask(open.server, work_us, copies);
+        add_ask(request, open);
         actions.push(Action::Send(SlotMessage::Ask(message)));
     }
 
@@ -152,20 +159,20 @@
         }
     }
 
-    /// What a partner is charged for a request: its part of the resource of which it takes most, in time
-    /// of one prefill server. Harm prevented: short prompts with long answers look cheap when only prefill
-    /// is counted, and would take the decode slots from everybody else.
+    /// Cost of a request charged to its partner: its share of the resource of which it uses most, in time of
+    /// one prefill server. If only prefill were charged, short prompts with long answers would look cheap and
+    /// take the decode slots from all other partners.
     fn charge_us(&self, request: &Request, prefill_us: Micros) -> Micros {
         let answer = self.expected_answer(request);
         let slot_us = (self.settings.decode_token_us.0 * answer.0 + prefill_us.0) as f64;
-        let in_prefill_us = slot_us * self.directory.slot_weight();
+        let prefill_share_us = slot_us * self.directory.prefill_servers_per_slot();
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "a positive span")]
-        let dominant_us = (prefill_us.0 as f64).max(in_prefill_us) as u64;
+        let dominant_us = (prefill_us.0 as f64).max(prefill_share_us) as u64;
         Micros(dominant_us)
     }
 
-    /// Time left until the turn must be granted. `None` for a request that cannot meet its target even on
-    /// an idle server: it is owed an answer, but goes behind those that can.
+    /// Time left until the turn must be granted. `None` for a request that cannot meet its target even on an
+    /// idle server: it is still answered, but after those that can.
     fn turn_slack(
         &self,
         now_us: MonoTime,
@@ -174,13 +181,13 @@
         work_us: Micros,
     ) -> Option<Micros> {
         if request.first_token_us.is_some() {
-            // The caller reads already, and each further wait is a gap in its answer: it goes before most,
-            // but must not be denied for a short wait.
-            return Some(self.settings.gap_ms.into());
+            // The answer has begun and any wait interrupts it. The request is ahead of most, but must not be
+            // denied for a short wait.
+            return Some(self.settings.resume_slack_ms.into());
         }
         let kv_bytes = self.kv_estimate(request.prefill_tokens());
-        let link = self.directory.get(server).map_or(0, |known| known.record.link_bytes_per_s.0);
-        let move_us = transfer_us(kv_bytes, BytesPerSecond(link / LINK_PART));
+        let link = self.directory.get(server).map_or(0, |entry| entry.record.link_bytes_per_s.0);
+        let move_us = transfer_us(kv_bytes, BytesPerSecond(link / ASSUMED_LINK_DIVISOR));
         let target_us = Micros::from(request.arrival.first_token_target_ms).0;
         let margin_us = target_us * self.settings.margin_percent / PERCENT;
         let needed_us =
@@ -189,12 +196,13 @@
         left_us.checked_sub(needed_us).map(Micros)
     }
 
-    /// No server asked will take the request: looks once more among the others, then refuses it. Before the
-    /// first prefill that is a refusal with nothing run; later it is a retry that found no place.
+    /// Handles a request that none of the asked servers accepts: tries the remaining servers, then refuses
+    /// it. Before the first prefill this is a refusal with no work started; later it is a retry that found no
+    /// server.
     ///
-    /// Where watchers gave no answer at all, as in the second after a daemon died, nothing is known of the
-    /// servers' load; refusing then would turn a change of watcher into an outage. The request waits a
-    /// little and asks again, as long as it can still be in time.
+    /// If watchers did not answer at all, as in the second after a daemon failed, the load of the servers is
+    /// unknown, and refusing would turn a change of watcher into an outage. The request then waits briefly
+    /// and asks again, as long as it can still meet its target.
     pub(super) fn turn_unavailable(
         &mut self,
         now_us: MonoTime,
@@ -208,19 +216,19 @@
         request.rounds += u8::from(denied.is_some());
         let again = request.rounds < self.settings.ask_rounds;
         let has_run = request.has_run();
-        let in_time = now_us < request.deadline_us;
+        let is_on_time = now_us < request.deadline_us;
         let model = request.arrival.model.clone();
-        if again && self.any_untried(now_us, request_id) {
+        if again && self.has_untried(now_us, request_id) {
             self.ask_turn(now_us, request_id, actions);
             return;
         }
         if has_run {
-            self.retry_later(now_us, request_id, actions);
+            self.retry_after_backoff(now_us, request_id, actions);
             return;
         }
         let served = self.directory.serves(&model, Role::Prefill);
-        if denied.is_none() && served && in_time {
-            self.pause(now_us, request_id);
+        if denied.is_none() && served && is_on_time {
+            self.wait_for_watchers(now_us, request_id);
             return;
         }
         let reason = match denied {
@@ -228,18 +236,18 @@
             None if served => RefusalReason::Unreachable,
             None => RefusalReason::NoServer,
         };
-        self.refuse(request_id, reason, denied.unwrap_or(self.settings.silence_ms), actions);
+        self.refuse(request_id, reason, denied.unwrap_or(self.settings.unresponsive_skip_ms), actions);
     }
 
-    fn pause(&mut self, now_us: MonoTime, request_id: RequestId) {
+    fn wait_for_watchers(&mut self, now_us: MonoTime, request_id: RequestId) {
         if let Some(request) = self.requests.get_mut(&request_id) {
             request.enter(now_us, Stage::Backoff);
             request.tried = Default::default();
-            self.set_timer(request_id, now_us + self.settings.unknown_pause_ms);
+            self.set_timer(request_id, now_us + self.settings.no_answer_backoff_ms);
         }
     }
 
-    fn any_untried(&mut self, now_us: MonoTime, request_id: RequestId) -> bool {
+    fn has_untried(&mut self, now_us: MonoTime, request_id: RequestId) -> bool {
         let Some(request) = self.requests.get(&request_id).cloned() else {
             return false;
         };
@@ -247,20 +255,20 @@
     }
 }
 
-/// Two servers are asked, unless the first spares so much that the second would be a loss.
-fn copies_for(best: &[Option<Scored>; 2]) -> u8 {
+/// Asks two servers, unless the first has so much of the prompt cached that the second would be a loss.
+fn ask_count(best: &[Option<Scored>; 2]) -> u8 {
     match best {
         [Some(first), Some(second)] => {
-            let spares = first.uncached_tokens < second.uncached_tokens;
-            if spares && first.score_us * 2 < second.score_us { 1 } else { 2 }
+            let has_more_cached = first.uncached_tokens < second.uncached_tokens;
+            if has_more_cached && first.score_us * 2 < second.score_us { 1 } else { 2 }
         }
         _ => 1,
     }
 }
 
-pub(super) fn place_ask(request: &mut Request, open: OpenAsk) {
-    if let Some(place) = request.asks.iter_mut().find(|place| place.is_none()) {
-        *place = Some(open);
+pub(super) fn add_ask(request: &mut Request, open: OpenAsk) {
+    if let Some(vacancy) = request.asks.iter_mut().find(|vacancy| vacancy.is_none()) {
+        *vacancy = Some(open);
     }
 }
 
@@ -280,7 +288,7 @@
     }
 }
 
-/// Time that a transfer takes.
+/// Duration of a transfer.
 pub(super) fn transfer_us(kv_bytes: Bytes, rate: BytesPerSecond) -> Micros {
     if rate.0 == 0 {
         return Micros::ZERO;
--- a/crates/core/src/sched/plain.rs
+++ b/crates/core/src/sched/plain.rs
@@ -1,8 +1,8 @@
-//! Choosing among the instances of one plain service.
+//! Scheduling of calls to the instances of a plain service.
 //!
-//! Plain services share the rules for outcomes, fairness and retries with language requests, but there is
-//! nothing to reserve: a call takes milliseconds, and asking a watcher first would double it. So each daemon
-//! decides by itself from what its own calls showed, and from the instances' load reports.
+//! Outcomes, fairness and retries follow the same rules as for language requests, but nothing is reserved: a
+//! call takes milliseconds, and asking a watcher first would double that. Each daemon decides alone, from the
+//! results of its own calls and the load reports of the instances.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -29,16 +29,16 @@
 pub struct PlainSettings {
     /// Order and bounds of the queue.
     pub queue: QueueSettings,
-    /// How instances are judged.
+    /// Limits for detecting slow and unresponsive instances.
     pub instance: InstanceSettings,
-    /// Retries that one arrival pays for, in percent.
+    /// Retries earned per arrival, in percent.
     pub retry_percent: u64,
-    /// Retries saved up at most.
+    /// Maximum number of saved retries.
     pub retry_burst: u64,
-    /// This daemon's part of an allowance that all daemons share, where there is one: it takes the place of the partners'
-    /// budgets.
+    /// This daemon's part of a retry allowance shared by all daemons; replaces the budgets of the partners
+    /// where present.
     pub shared_retries: Option<AllowanceSettings>,
-    /// Longest first back-off of a retry; doubled with each.
+    /// Upper bound of the first back-off; doubled with each retry.
     pub backoff_ms: Millis,
 }
 
@@ -59,30 +59,30 @@
 struct Call {
     arrival: PlainArrival,
     arrived_us: MonoTime,
-    /// Its tries, and what they prove.
-    tries: Attempts,
-    at: Option<(usize, MonoTime)>,
+    /// Attempts made, and what they prove about execution.
+    attempts: Attempts,
+    dispatched: Option<(usize, MonoTime)>,
     failed_at: Option<usize>,
     retry_at_us: Option<MonoTime>,
 }
 
-/// A call that is to be tried again and cannot be paid for yet.
+/// Call that waits for retry credit.
 #[derive(Clone, Copy, Debug)]
-struct Unpaid {
+struct UnfundedRetry {
     request_id: RequestId,
     until_us: MonoTime,
 }
 
-/// What pays for further tries.
+/// Source of retry credit.
 #[derive(Debug)]
-enum Retries {
-    /// What each partner's own arrivals earned.
-    ByPartner(HashMap<PartnerId, RetryBudget>),
-    /// This daemon's part of an allowance of all daemons.
+enum RetrySource {
+    /// Budgets earned by the arrivals of each partner.
+    PerPartner(HashMap<PartnerId, RetryBudget>),
+    /// This daemon's part of an allowance shared by all daemons.
     Shared(Allowance),
 }
 
-/// Decides for the calls of one daemon to one plain service.
+/// Schedules the calls of one daemon to one plain service.
 #[derive(Debug)]
 pub struct PlainScheduler {
     settings: PlainSettings,
@@ -91,17 +91,17 @@
     names: HashMap<BackendServerId, usize>,
     calls: HashMap<RequestId, Call>,
     queue: FairQueue<()>,
-    paid_by: Retries,
+    retry_source: RetrySource,
     retries: Vec<(MonoTime, RequestId)>,
-    unpaid: Vec<Unpaid>,
+    unfunded: Vec<UnfundedRetry>,
     counters: PlainCounters,
     wake_us: Option<MonoTime>,
-    /// When instances with a limit that is used up took calls, the newest last.
+    /// Start times of calls at instances whose published limit is used up, newest last.
     limited_starts: VecDeque<MonoTime>,
 }
 
 impl PlainScheduler {
-    /// A scheduler that knows no instances yet.
+    /// Creates a scheduler without instances.
     pub fn new(settings: PlainSettings, seed: u64) -> Self {
         Self {
             settings,
@@ -110,27 +110,27 @@
             names: HashMap::new(),
             calls: HashMap::new(),
             queue: FairQueue::new(settings.queue),
-            paid_by: match settings.shared_retries {
-                Some(shared) => Retries::Shared(Allowance::new(shared, seed)),
-                None => Retries::ByPartner(HashMap::new()),
+            retry_source: match settings.shared_retries {
+                Some(shared) => RetrySource::Shared(Allowance::new(shared, seed)),
+                None => RetrySource::PerPartner(HashMap::new()),
             },
             retries: Vec::new(),
-            unpaid: Vec::new(),
+            unfunded: Vec::new(),
             counters: PlainCounters::default(),
             wake_us: None,
             limited_starts: VecDeque::new(),
         }
     }
 
-    /// Changes the limits; what was decided and saved up stays.
+    /// Changes the limits; pending calls and saved retries are kept.
     pub fn configure(&mut self, settings: PlainSettings) {
-        match &mut self.paid_by {
-            Retries::ByPartner(budgets) => {
+        match &mut self.retry_source {
+            RetrySource::PerPartner(budgets) => {
                 for budget in budgets.values_mut() {
                     budget.configure(settings.retry_percent, settings.retry_burst);
                 }
             }
-            Retries::Shared(allowance) => {
+            RetrySource::Shared(allowance) => {
                 if let Some(shared) = settings.shared_retries {
                     allowance.configure(shared);
                 }
@@ -139,35 +139,35 @@
         self.settings = settings;
     }
 
-    /// This daemon's part of the allowance, where there is one.
+    /// This daemon's part of the shared allowance, if there is one.
     pub fn allowance(&mut self) -> Option<&mut Allowance> {
-        match &mut self.paid_by {
-            Retries::ByPartner(_) => None,
-            Retries::Shared(allowance) => Some(allowance),
+        match &mut self.retry_source {
+            RetrySource::PerPartner(_) => None,
+            RetrySource::Shared(allowance) => Some(allowance),
         }
     }
 
-    /// What it decided so far.
+    /// Counters since creation.
     pub fn counters(&self) -> &PlainCounters {
         &self.counters
     }
 
-    /// Takes an event and pushes what is to be done.
+    /// Handles an event and appends the resulting actions.
     pub fn handle(&mut self, now_us: MonoTime, event: PlainEvent, actions: &mut Vec<PlainAction>) {
         match event {
-            PlainEvent::Arrive(arrival) => self.arrive(now_us, arrival, actions),
+            PlainEvent::Arrive(arrival) => self.admit(now_us, arrival, actions),
             PlainEvent::Done { request_id } => self.done(now_us, request_id),
             PlainEvent::Failed { request_id, cause } => self.failed(now_us, request_id, cause, actions),
             PlainEvent::CallerLeft { request_id } => self.caller_left(now_us, request_id),
-            PlainEvent::Instances(list) => self.adopt(list),
-            PlainEvent::Sign { server, sign } => {
+            PlainEvent::Instances(list) => self.apply_list(list),
+            PlainEvent::StateSignal { server, signal } => {
                 if let Some(&index) = self.names.get(&server) {
-                    self.instances[index].sign(now_us, sign);
+                    self.instances[index].apply_signal(now_us, signal);
                 }
             }
             PlainEvent::Load { server, in_flight, capacity, age_us } => {
                 if let Some(&index) = self.names.get(&server) {
-                    self.instances[index].report(now_us, in_flight, capacity, age_us);
+                    self.instances[index].update_load(now_us, in_flight, capacity, age_us);
                 }
             }
             PlainEvent::Lent { number, credit, spare } => {
@@ -182,14 +182,14 @@
             }
             PlainEvent::Tick => {}
         }
-        self.pay(now_us, actions);
+        self.fund_retries(now_us, actions);
         self.requeue_due(now_us);
         self.expire(now_us, actions);
-        self.serve(now_us, actions);
-        self.wake(now_us, actions);
+        self.dispatch_queued(now_us, actions);
+        self.schedule_wake(now_us, actions);
     }
 
-    fn adopt(&mut self, list: Vec<PlainInstance>) {
+    fn apply_list(&mut self, list: Vec<PlainInstance>) {
         for instance in &mut self.instances {
             instance.unlist();
         }
@@ -204,120 +204,132 @@
         }
     }
 
-    /// Takes a call in, or refuses it.
+    /// Admits a call or refuses it.
     ///
-    /// Load: a surge of one partner, or instances that became slow. Harm prevented: callers waiting longer
-    /// than they would ever stay, and a burst of launch entries stuck behind somebody's page loads.
-    fn arrive(&mut self, now_us: MonoTime, arrival: PlainArrival, actions: &mut Vec<PlainAction>) {
+    /// When one partner surges or instances become slow, a call that would wait longer than its limit is
+    /// refused at once, and the queue keeps each partner's calls apart, so that a burst of launch entries
+    /// does not wait behind another partner's page loads.
+    fn admit(&mut self, now_us: MonoTime, arrival: PlainArrival, actions: &mut Vec<PlainAction>) {
         self.counters.arrivals += 1;
         let PlainSettings { retry_percent, retry_burst, .. } = self.settings;
-        match &mut self.paid_by {
-            Retries::ByPartner(budgets) => budgets
+        match &mut self.retry_source {
+            RetrySource::PerPartner(budgets) => budgets
                 .entry(arrival.partner.clone())
                 .or_insert_with(|| RetryBudget::new(retry_percent, retry_burst))
                 .deposit(),
-            Retries::Shared(allowance) => allowance.arrived(),
+            RetrySource::Shared(allowance) => allowance.arrived(),
         }
         let request_id = arrival.request_id;
         if self.calls.contains_key(&request_id) {
             return;
         }
-        let patience_us = Micros::from(arrival.patience_ms);
-        let entry = self.waiting(now_us, &arrival);
+        let max_wait_us = Micros::from(arrival.max_wait_ms);
+        let entry = self.queue_entry(now_us, &arrival);
         let repeatability =
             if arrival.repeatable { Repeatability::Repeatable } else { Repeatability::AtMostOnce };
-        let tries = Attempts::new(repeatability, arrival.attempts_max);
-        let call = Call { arrival, arrived_us: now_us, tries, at: None, failed_at: None, retry_at_us: None };
-        let wait_us = self.queue.forecast(now_us, &entry, self.pace(now_us)).wait_us;
+        let attempts = Attempts::new(repeatability, arrival.attempts_max);
+        let call = Call {
+            arrival,
+            arrived_us: now_us,
+            attempts,
+            dispatched: None,
+            failed_at: None,
+            retry_at_us: None,
+        };
+        let wait_us = self.queue.forecast(now_us, &entry, self.wait_scale(now_us)).wait_us;
         let full = self.queue.is_full(&entry.partner, false);
         self.calls.insert(request_id, call);
         if full {
             self.refuse(request_id, PlainRefusal::QueueFull, wait_us, actions);
         } else if !self.instances.iter().any(|instance| instance.is_listed_live(now_us)) {
-            self.refuse(request_id, PlainRefusal::NoInstance, patience_us, actions);
-        } else if let Some(opens_us) = self.nobody_until(now_us) {
-            self.refuse(request_id, PlainRefusal::NoInstance, opens_us.since(now_us), actions);
-        } else if let Some(limited_us) = self.limited_wait(now_us).filter(|wait_us| *wait_us > patience_us) {
+            self.refuse(request_id, PlainRefusal::NoInstance, max_wait_us, actions);
+        } else if let Some(available_us) = self.all_ejected_until(now_us) {
+            self.refuse(request_id, PlainRefusal::NoInstance, available_us.since(now_us), actions);
+        } else if let Some(limited_us) = self.limited_wait(now_us).filter(|wait_us| *wait_us > max_wait_us) {
             self.refuse(request_id, PlainRefusal::WouldWaitTooLong, limited_us, actions);
-        } else if wait_us > patience_us {
-            let after_us = wait_us.saturating_sub(patience_us);
+        } else if wait_us > max_wait_us {
+            let after_us = wait_us.saturating_sub(max_wait_us);
             self.refuse(request_id, PlainRefusal::WouldWaitTooLong, after_us, actions);
         } else {
             self.queue.push(entry);
         }
     }
 
-    /// Time until a call behind all that wait is sent, where all instances keep using up the limits that they state.
+    /// Time until a call at the end of the queue is sent, if all instances keep using up their published
+    /// limits.
     ///
-    /// Load: a service in need, each instance of which states a limit. Harm prevented: callers wait for a place that they
-    /// cannot get in time, one behind the other, instead of being told when to come back. Other daemons take their part
-    /// of the limits, so what this one got lately says how long its queue takes.
+    /// With this estimate, callers of an overloaded service are told when to come back instead of queueing
+    /// for capacity that they cannot get in time. Other daemons use part of the limits, so the estimate is
+    /// based on the calls that this daemon could start recently.
     fn limited_wait(&self, now_us: MonoTime) -> Option<Micros> {
         let live = self.instances.iter().filter(|instance| instance.is_listed_live(now_us));
-        let closed: Option<Vec<(MonoTime, u64)>> = live
+        let unavailable: Option<Vec<(MonoTime, u64)>> = live
             .map(|instance| {
-                let (rate, aside_us) = (instance.limit_rate(now_us), instance.opens_at(now_us));
-                let is_closed = rate.is_some() || aside_us.is_some();
-                let until_us = instance.limited_until(now_us).or(aside_us).unwrap_or(now_us);
-                is_closed.then(|| (until_us, rate.unwrap_or_default().0))
+                let (rate, ejected_until_us) = (instance.limit_rate(now_us), instance.ejected_until(now_us));
+                let is_unavailable = rate.is_some() || ejected_until_us.is_some();
+                let until_us = instance.limited_until(now_us).or(ejected_until_us).unwrap_or(now_us);
+                is_unavailable.then(|| (until_us, rate.unwrap_or_default().0))
             })
             .collect();
-        let closed = closed?;
-        let opens_us = closed.iter().map(|(until_us, _)| *until_us).min()?;
-        let rate: u64 = closed.iter().map(|(_, rate)| rate).sum();
+        let unavailable = unavailable?;
+        let available_us = unavailable.iter().map(|(until_us, _)| *until_us).min()?;
+        let rate: u64 = unavailable.iter().map(|(_, rate)| rate).sum();
         let ahead = self.queue.len() as u64;
-        let lately = self.limited_starts.iter().filter(|at_us| now_us < **at_us + STARTS_WINDOW_MS).count();
-        let behind_us = match lately as u64 {
+        let recent =
+            self.limited_starts.iter().filter(|at_us| now_us < **at_us + LIMITED_STARTS_WINDOW_MS).count();
+        let behind_us = match recent as u64 {
             0 => ahead * UNIT.0 * MICROS_PER_SECOND / rate.max(1),
-            lately => ahead * Micros::from(STARTS_WINDOW_MS).0 / lately,
+            recent => ahead * Micros::from(LIMITED_STARTS_WINDOW_MS).0 / recent,
         };
-        Some(opens_us.since(now_us) + Micros(behind_us))
+        Some(available_us.since(now_us) + Micros(behind_us))
     }
 
-    /// Notes that an instance took a call, for reckoning what a limit leaves to this daemon.
-    fn note_start(&mut self, at_us: MonoTime) {
-        if self.limited_starts.len() == STARTS_MAX {
+    /// Records the start of a call at an instance with a published limit, for estimating the share of the
+    /// limit that this daemon gets.
+    fn record_limited_start(&mut self, at_us: MonoTime) {
+        if self.limited_starts.len() == LIMITED_STARTS_MAX {
             self.limited_starts.pop_front();
         }
         self.limited_starts.push_back(at_us);
     }
 
-    fn waiting(&self, now_us: MonoTime, arrival: &PlainArrival) -> Waiting<()> {
-        let work_us = Micros(self.usual_latency_us());
+    fn queue_entry(&self, now_us: MonoTime, arrival: &PlainArrival) -> Waiting<()> {
+        let work_us = Micros(self.median_latency_us());
         Waiting {
             request_id: arrival.request_id,
             partner: arrival.partner.clone(),
             since_us: now_us,
-            latest_us: Some(now_us + arrival.patience_ms),
+            latest_us: Some(now_us + arrival.max_wait_ms),
             work_us,
             charge_us: work_us,
             item: (),
         }
     }
 
-    /// Calls run side by side, so a queue's time is its work over the room of all instances.
-    fn pace(&self, now_us: MonoTime) -> f64 {
+    /// Factor from queued work to waiting time: calls run in parallel, so it is one over the capacity of all
+    /// instances.
+    fn wait_scale(&self, now_us: MonoTime) -> f64 {
         let room = self.instances.iter().map(|instance| u64::from(instance.limit(now_us))).sum::<u64>();
         1.0 / room.max(1) as f64
     }
 
-    /// Median of the instances' latencies: one slow instance does not move it.
-    fn usual_latency_us(&self) -> u64 {
-        let mut seen = [0_u64; MEDIAN_OF];
+    /// Median of the instances' latencies, which a single slow instance does not shift.
+    fn median_latency_us(&self) -> u64 {
+        let mut latencies = [0_u64; MEDIAN_SAMPLE_MAX];
         let mut len = 0;
-        for latency_us in self.instances.iter().filter_map(Instance::latency_us).take(MEDIAN_OF) {
-            seen[len] = latency_us;
+        for latency_us in self.instances.iter().filter_map(Instance::latency_us).take(MEDIAN_SAMPLE_MAX) {
+            latencies[len] = latency_us;
             len += 1;
         }
         if len == 0 {
-            return self.settings.instance.first_latency_us.0;
+            return self.settings.instance.initial_latency_us.0;
         }
-        let seen = &mut seen[..len];
-        seen.sort_unstable();
-        seen[(len - 1) / 2]
+        let latencies = &mut latencies[..len];
+        latencies.sort_unstable();
+        latencies[(len - 1) / 2]
     }
 
-    fn serve(&mut self, now_us: MonoTime, actions: &mut Vec<PlainAction>) {
+    fn dispatch_queued(&mut self, now_us: MonoTime, actions: &mut Vec<PlainAction>) {
         while !self.queue.is_empty() {
             if !self.instances.iter().any(|instance| instance.has_room(now_us)) {
                 return;
@@ -326,7 +338,7 @@
                 return;
             };
             if !self.dispatch(now_us, entry.request_id, actions) {
-                // Room only at an instance on trial, which this call may not be risked on.
+                // Only an ejected instance has capacity, and this call must not be used as its probe.
                 self.queue.refund(&entry.partner, entry.charge_us);
                 self.queue.push(entry);
                 return;
@@ -342,15 +354,15 @@
         let Some(index) = self.choose(now_us, repeatable, failed_at) else {
             return false;
         };
-        let timeout_us = self.instances[index].timeout_us(self.usual_latency_us());
+        let timeout_us = self.instances[index].timeout_us(self.median_latency_us());
         let Some(call) = self.calls.get_mut(&request_id) else {
             return true;
         };
-        if call.tries.begin().is_err() {
-            self.give_up(request_id, actions);
+        if call.attempts.begin().is_err() {
+            self.end_without_retry(request_id, actions);
             return true;
         }
-        call.at = Some((index, now_us));
+        call.dispatched = Some((index, now_us));
         let fresh_connection = !call.arrival.repeatable;
         self.instances[index].start(now_us);
         actions.push(PlainAction::Dispatch {
@@ -362,32 +374,32 @@
         true
     }
 
-    /// Chooses the instance with the shortest expected time among a few drawn at random.
+    /// Chooses the instance with the shortest expected time among a few sampled at random.
     ///
-    /// Load: instances of uneven speed. Harm prevented: least-connections alone favours an instance that
-    /// fails fast, lowest-latency alone sends everybody to one; calls in flight times latency weighs both.
-    /// An instance set aside gets a single call on trial; at a mute one that call is likely to be lost, so
-    /// one that may run twice is taken for it.
+    /// Least-connections alone favours an instance that fails fast, and lowest-latency alone sends all calls
+    /// to one instance; the product of calls in flight and latency balances both. An ejected instance gets a
+    /// single probe call. At an unresponsive instance that call is likely to be lost, so a repeatable call is
+    /// used.
     fn choose(&mut self, now_us: MonoTime, repeatable: bool, failed_at: Option<usize>) -> Option<usize> {
-        let usual_us = self.usual_latency_us();
+        let median_us = self.median_latency_us();
         let count = self.instances.len();
         let start = if count > 0 {
             self.rng.random_range(0..count)
         } else {
             return None;
         };
-        let drawn = (0..count.min(SAMPLE)).map(|step| (start + step) % count);
-        let fit = |&index: &usize| {
+        let sampled = (0..count.min(SAMPLE_SIZE)).map(|step| (start + step) % count);
+        let eligible = |&index: &usize| {
             let instance = &self.instances[index];
             Some(index) != failed_at && instance.has_room(now_us)
         };
-        let trial = |&index: &usize| self.instances[index].wants_trial(now_us, repeatable);
-        if let Some(index) = drawn.clone().filter(fit).find(trial) {
+        let probe_due = |&index: &usize| self.instances[index].is_probe_due(now_us, repeatable);
+        if let Some(index) = sampled.clone().filter(eligible).find(probe_due) {
             return Some(index);
         }
-        let healthy = |&index: &usize| fit(&index) && !self.instances[index].is_set_aside();
-        let best = |index: &usize| self.instances[*index].score(usual_us);
-        drawn.filter(healthy).min_by_key(best).or_else(|| (0..count).filter(healthy).min_by_key(best))
+        let healthy = |&index: &usize| eligible(&index) && !self.instances[index].is_ejected();
+        let best = |index: &usize| self.instances[*index].score(median_us);
+        sampled.filter(healthy).min_by_key(best).or_else(|| (0..count).filter(healthy).min_by_key(best))
     }
 
     fn done(&mut self, now_us: MonoTime, request_id: RequestId) {
@@ -395,44 +407,46 @@
             return;
         };
         self.counters.answered += 1;
-        if let Some((index, since_us)) = call.at {
+        if let Some((index, since_us)) = call.dispatched {
             if self.instances[index].limit_rate(now_us).is_some() {
-                self.note_start(since_us);
+                self.record_limited_start(since_us);
             }
             self.instances[index].finish(now_us.since(since_us));
-            self.judge(now_us, index);
+            self.check_instance_latency(now_us, index);
         }
     }
 
-    /// Sets an instance aside that is far slower than the others.
+    /// Ejects an instance that is far slower than the others.
     ///
-    /// Harm prevented: an instance ten times slower that answers its health check holds its callers for ten
-    /// times as long. Bound: after the fifth slow answer. At most half of the instances are set aside: if
-    /// most are slow the cause is the load, and taking instances away would make it worse.
-    fn judge(&mut self, now_us: MonoTime, index: usize) {
-        let usual_us = self.usual_latency_us();
-        if !self.may_set_aside(now_us) {
+    /// An instance that is ten times slower but passes its health check delays each of its callers by that
+    /// factor; it is ejected after [`InstanceSettings::slow_answers`] slow answers, five by default. At most
+    /// half of the instances are ejected as slow: if most are slow the load is the cause, and fewer instances
+    /// would make it worse.
+    fn check_instance_latency(&mut self, now_us: MonoTime, index: usize) {
+        let median_us = self.median_latency_us();
+        if !self.may_eject(now_us) {
             return;
         }
-        if self.instances[index].judge_speed(now_us, usual_us) {
+        if self.instances[index].check_latency(now_us, median_us) {
             self.counters.ejected_slow += 1;
         }
     }
 
-    fn may_set_aside(&self, now_us: MonoTime) -> bool {
-        let aside = self.instances.iter().filter(|instance| instance.is_set_aside()).count();
+    fn may_eject(&self, now_us: MonoTime) -> bool {
+        let ejected = self.instances.iter().filter(|instance| instance.is_ejected()).count();
         let live = self.instances.iter().filter(|instance| instance.is_listed_live(now_us)).count();
-        (aside + 1) * 2 <= live
+        (ejected + 1) * 2 <= live
     }
 
-    /// When the first instance may be tried again, where all are set aside now.
-    fn nobody_until(&self, now_us: MonoTime) -> Option<MonoTime> {
+    /// Time at which the first instance may be probed, if all are ejected.
+    fn all_ejected_until(&self, now_us: MonoTime) -> Option<MonoTime> {
         let live = || self.instances.iter().filter(|instance| instance.is_listed_live(now_us));
-        let is_aside = |instance: &Instance| instance.is_set_aside() && !instance.wants_trial(now_us, true);
-        if !live().all(is_aside) {
+        let is_unavailable =
+            |instance: &Instance| instance.is_ejected() && !instance.is_probe_due(now_us, true);
+        if !live().all(is_unavailable) {
             return None;
         }
-        live().filter_map(|instance| instance.opens_at(now_us)).min()
+        live().filter_map(|instance| instance.ejected_until(now_us)).min()
     }
 
     fn failed(
@@ -442,115 +456,116 @@
         cause: FailureCause,
         actions: &mut Vec<PlainAction>,
     ) {
-        // An instance that takes no connection is not slow with load: it is down, or on the other side of a cut. All
-        // of them may be set aside for that: with half of them kept, a daemon that is cut off would go on trying those,
-        // and each call would wait for a connection that cannot come about.
-        let may_set_aside = cause == FailureCause::NotSent || self.may_set_aside(now_us);
+        // An instance that accepts no connection is not slow under load: it is down or unreachable, so even
+        // all instances may be ejected for it. If half were kept, a daemon that is cut off would go on trying
+        // those, and each call would wait for a connection that cannot be made.
+        let may_eject = cause == FailureCause::NotSent || self.may_eject(now_us);
         let Some(call) = self.calls.get_mut(&request_id) else {
             return;
         };
-        let Some((index, _)) = call.at.take() else {
+        let Some((index, _)) = call.dispatched.take() else {
             return;
         };
         if cause != FailureCause::Limited {
             call.failed_at = Some(index);
         }
-        // What a failed try brought is never an answer for the caller.
-        let _ = call.tries.end(cause.proves());
-        if self.instances[index].fail(now_us, cause, may_set_aside) {
-            self.counters.ejected_mute += 1;
+        // The result of a failed attempt is never an answer for the caller.
+        let _ = call.attempts.end(cause.attempt_end());
+        if self.instances[index].fail(now_us, cause, may_eject) {
+            self.counters.ejected_unresponsive += 1;
         }
         if cause == FailureCause::Limited {
-            self.retry_soon(now_us, request_id);
+            self.schedule_retry(now_us, request_id);
         } else {
             self.retry(now_us, request_id, actions);
         }
     }
 
-    /// Retries, or ends the call. A call that may have run and may not be repeated is never sent again:
-    /// nobody knows whether it ran, and the caller is told so.
+    /// Retries the call or ends it. A call that may have run and must not be repeated is never sent again;
+    /// its caller is told that the outcome is unknown.
     fn retry(&mut self, now_us: MonoTime, request_id: RequestId, actions: &mut Vec<PlainAction>) {
         let Some(call) = self.calls.get_mut(&request_id) else {
             return;
         };
-        if call.tries.may_begin() == Err(NoRetry::MayHaveRun) {
-            self.unknown(request_id, actions);
+        if call.attempts.may_begin() == Err(NoRetry::MayHaveRun) {
+            self.end_unknown(request_id, actions);
             return;
         }
-        if call.tries.may_begin().is_err() {
+        if call.attempts.may_begin().is_err() {
             self.counters.retries_denied += 1;
-            self.give_up(request_id, actions);
+            self.end_without_retry(request_id, actions);
             return;
         }
-        // A try that reached nobody has cost the servers nothing. Refused for want of budget, callers beside a cut would be
-        // turned away with servers free.
-        if call.tries.made() == 0 {
-            self.retry_soon(now_us, request_id);
+        // An attempt that reached no server cost the servers nothing. If it needed budget, callers beside a
+        // network partition would be refused while servers are free.
+        if call.attempts.made() == 0 {
+            self.schedule_retry(now_us, request_id);
             return;
         }
-        let (paid, may_be_lent) = match &mut self.paid_by {
-            Retries::ByPartner(budgets) => {
+        let (funded, may_borrow) = match &mut self.retry_source {
+            RetrySource::PerPartner(budgets) => {
                 (budgets.get_mut(&call.arrival.partner).is_some_and(RetryBudget::withdraw), false)
             }
-            Retries::Shared(allowance) => (allowance.withdraw(now_us), allowance.may_borrow()),
+            RetrySource::Shared(allowance) => (allowance.withdraw(now_us), allowance.may_borrow()),
         };
-        if paid {
-            self.retry_soon(now_us, request_id);
-        } else if may_be_lent {
-            self.unpaid.push(Unpaid { request_id, until_us: now_us + LOAN_WAIT_MS });
+        if funded {
+            self.schedule_retry(now_us, request_id);
+        } else if may_borrow {
+            self.unfunded.push(UnfundedRetry { request_id, until_us: now_us + LOAN_WAIT_MS });
         } else {
             self.counters.retries_denied += 1;
-            self.give_up(request_id, actions);
+            self.end_without_retry(request_id, actions);
         }
     }
 
-    fn retry_soon(&mut self, now_us: MonoTime, request_id: RequestId) {
+    fn schedule_retry(&mut self, now_us: MonoTime, request_id: RequestId) {
         let Some(call) = self.calls.get_mut(&request_id) else {
             return;
         };
-        let doubled = call.tries.made();
-        let longest_us = Micros::from(self.settings.backoff_ms).0 << doubled;
+        let doublings = call.attempts.made();
+        let longest_us = Micros::from(self.settings.backoff_ms).0 << doublings;
         let at_us = now_us + Micros(self.rng.random_range(0..=longest_us));
         call.retry_at_us = Some(at_us);
         self.retries.push((at_us, request_id));
         self.counters.retries += 1;
     }
 
-    /// Tries those again that can be paid for now, asks for loans for the others, and ends those for which none came.
-    fn pay(&mut self, now_us: MonoTime, actions: &mut Vec<PlainAction>) {
+    /// Retries the calls that can be funded now, borrows credit for the others, and ends those whose loan did
+    /// not arrive in time.
+    fn fund_retries(&mut self, now_us: MonoTime, actions: &mut Vec<PlainAction>) {
         let calls = &self.calls;
-        self.unpaid.retain(|unpaid| calls.contains_key(&unpaid.request_id));
-        let Retries::Shared(allowance) = &mut self.paid_by else {
+        self.unfunded.retain(|unfunded| calls.contains_key(&unfunded.request_id));
+        let RetrySource::Shared(allowance) = &mut self.retry_source else {
             return;
         };
-        let payable = self.unpaid.iter().take_while(|_| allowance.withdraw(now_us)).count();
-        let paid: Vec<Unpaid> = self.unpaid.drain(..payable).collect();
-        if let Some(ask) = allowance.ask(now_us, self.unpaid.len() as u64) {
+        let affordable = self.unfunded.iter().take_while(|_| allowance.withdraw(now_us)).count();
+        let funded: Vec<UnfundedRetry> = self.unfunded.drain(..affordable).collect();
+        if let Some(ask) = allowance.ask(now_us, self.unfunded.len() as u64) {
             actions.push(PlainAction::Borrow(ask));
         }
-        let may_be_lent = allowance.may_borrow();
-        let is_over = |unpaid: &Unpaid| now_us >= unpaid.until_us || !may_be_lent;
-        let denied: Vec<Unpaid> = self.unpaid.extract_if(.., |unpaid| is_over(unpaid)).collect();
-        for Unpaid { request_id, .. } in paid {
-            self.retry_soon(now_us, request_id);
+        let may_borrow = allowance.may_borrow();
+        let is_over = |unfunded: &UnfundedRetry| now_us >= unfunded.until_us || !may_borrow;
+        let denied: Vec<UnfundedRetry> = self.unfunded.extract_if(.., |unfunded| is_over(unfunded)).collect();
+        for UnfundedRetry { request_id, .. } in funded {
+            self.schedule_retry(now_us, request_id);
         }
-        for Unpaid { request_id, .. } in denied {
+        for UnfundedRetry { request_id, .. } in denied {
             self.counters.retries_denied += 1;
-            self.give_up(request_id, actions);
+            self.end_without_retry(request_id, actions);
         }
     }
 
-    /// Ends a call that is not tried again, by what its tries prove.
-    fn give_up(&mut self, request_id: RequestId, actions: &mut Vec<PlainAction>) {
+    /// Ends a call without a further attempt; the outcome follows from what its attempts prove.
+    fn end_without_retry(&mut self, request_id: RequestId, actions: &mut Vec<PlainAction>) {
         if self.may_have_run(request_id) {
-            self.unknown(request_id, actions);
+            self.end_unknown(request_id, actions);
         } else {
-            self.refuse(request_id, PlainRefusal::RetriesSpent, Micros::ZERO, actions);
+            self.refuse(request_id, PlainRefusal::RetriesExhausted, Micros::ZERO, actions);
         }
     }
 
     fn may_have_run(&self, request_id: RequestId) -> bool {
-        self.calls.get(&request_id).is_some_and(|call| call.tries.outcome() == Outcome::Unknown)
+        self.calls.get(&request_id).is_some_and(|call| call.attempts.outcome() == Outcome::Unknown)
     }
 
     fn requeue_due(&mut self, now_us: MonoTime) {
@@ -569,17 +584,17 @@
             call.retry_at_us = None;
             let arrival = call.arrival.clone();
             let since_us = call.arrived_us;
-            let mut entry = self.waiting(now_us, &arrival);
-            entry.latest_us = Some(since_us + arrival.patience_ms);
+            let mut entry = self.queue_entry(now_us, &arrival);
+            entry.latest_us = Some(since_us + arrival.max_wait_ms);
             self.queue.push(entry);
         }
     }
 
-    /// Refuses calls whose patience ended in the queue.
+    /// Refuses queued calls that reached their maximum wait.
     fn expire(&mut self, now_us: MonoTime, actions: &mut Vec<PlainAction>) {
         while let Some(entry) = self.queue.take_expired(now_us) {
             if self.may_have_run(entry.request_id) {
-                self.unknown(entry.request_id, actions);
+                self.end_unknown(entry.request_id, actions);
             } else {
                 let wait_us = self.limited_wait(now_us).unwrap_or(entry.work_us);
                 self.refuse(entry.request_id, PlainRefusal::WouldWaitTooLong, wait_us, actions);
@@ -600,7 +615,7 @@
         actions.push(PlainAction::Refuse { request_id, reason, retry_after_ms });
     }
 
-    fn unknown(&mut self, request_id: RequestId, actions: &mut Vec<PlainAction>) {
+    fn end_unknown(&mut self, request_id: RequestId, actions: &mut Vec<PlainAction>) {
         self.calls.remove(&request_id);
         self.counters.unknown += 1;
         actions.push(PlainAction::Unknown { request_id });
@@ -609,25 +624,28 @@
     fn caller_left(&mut self, now_us: MonoTime, request_id: RequestId) {
         self.queue.remove(request_id);
         if let Some(call) = self.calls.remove(&request_id)
-            && let Some((index, _)) = call.at
+            && let Some((index, _)) = call.dispatched
         {
-            self.instances[index].abandon(now_us);
+            self.instances[index].cancel(now_us);
         }
     }
 
-    fn wake(&mut self, now_us: MonoTime, actions: &mut Vec<PlainAction>) {
+    fn schedule_wake(&mut self, now_us: MonoTime, actions: &mut Vec<PlainAction>) {
         let retry_us = self.retries.iter().map(|&(at_us, _)| at_us).min();
         let expiry_us = self.queue.first_expiry();
-        let reopen_us = (!self.queue.is_empty())
+        let available_us = (!self.queue.is_empty())
             .then(|| {
-                let opens = |instance: &Instance| {
-                    [instance.opens_at(now_us), instance.limited_until(now_us)].into_iter().flatten().min()
+                let available_at = |instance: &Instance| {
+                    [instance.ejected_until(now_us), instance.limited_until(now_us)]
+                        .into_iter()
+                        .flatten()
+                        .min()
                 };
-                self.instances.iter().filter_map(opens).min()
+                self.instances.iter().filter_map(available_at).min()
             })
             .flatten();
-        let ask_us = (!self.unpaid.is_empty()).then(|| now_us + ASK_AGAIN_MS);
-        let Some(at_us) = [retry_us, expiry_us, reopen_us, ask_us].into_iter().flatten().min() else {
+        let ask_us = (!self.unfunded.is_empty()).then(|| now_us + ASK_AGAIN_MS);
+        let Some(at_us) = [retry_us, expiry_us, available_us, ask_us].into_iter().flatten().min() else {
             return;
         };
         if self.wake_us.is_none_or(|known_us| known_us <= now_us || at_us < known_us) {
@@ -639,14 +657,14 @@
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// Time over which the calls are counted that limits leave to this daemon.
-const STARTS_WINDOW_MS: Millis = Millis(2_000);
+/// Period over which starts at instances with a used-up limit are counted.
+const LIMITED_STARTS_WINDOW_MS: Millis = Millis(2_000);
 
-/// Such calls that are remembered.
-const STARTS_MAX: usize = 256;
+/// Maximum number of remembered starts.
+const LIMITED_STARTS_MAX: usize = 256;
 
-/// Instances looked at for one call.
-const SAMPLE: usize = 4;
+/// Instances considered for one call.
+const SAMPLE_SIZE: usize = 4;
 
-/// Instances whose latency is looked at for the usual one.
-const MEDIAN_OF: usize = 16;
+/// Instances considered for the median latency.
+const MEDIAN_SAMPLE_MAX: usize = 16;
--- a/crates/core/src/sched/plain_events.rs
+++ b/crates/core/src/sched/plain_events.rs
@@ -1,148 +1,148 @@
-//! What the scheduler of a plain service is told and what it wants done.
+//! Inputs and outputs of the scheduler of a plain service.
 
 use crate::allowance::Ask;
 use crate::ids::{BackendServerId, PartnerId, RequestId};
 use crate::units::{Credit, Micros, Millis, MonoTime};
 
-use super::directory::Sign;
+use super::directory::StateSignal;
 use super::events::FailureCause;
 use super::instance::LimitReached;
 
-/// A call for a plain service.
+/// Newly received call for a plain service.
 #[derive(Clone, Debug)]
 pub struct PlainArrival {
-    /// Its id.
+    /// Request ID.
     pub request_id: RequestId,
-    /// Who sent it.
+    /// Partner that sent it.
     pub partner: PartnerId,
-    /// Whether it may run twice.
+    /// Whether the call may run twice.
     pub repeatable: bool,
-    /// Attempts at most.
+    /// Maximum number of attempts.
     pub attempts_max: u32,
-    /// Longest time that it may wait for an instance.
-    pub patience_ms: Millis,
+    /// Longest wait for an instance.
+    pub max_wait_ms: Millis,
 }
 
-/// An instance as the platform lists it.
+/// Instance as listed by the platform.
 #[derive(Clone, Debug)]
 pub struct PlainInstance {
-    /// Its name.
+    /// Server name.
     pub server: BackendServerId,
-    /// Calls that it runs at once.
+    /// Number of concurrent calls that it accepts.
     pub capacity: u32,
-    /// Whether the list shows it as leaving.
+    /// Whether it is listed as leaving.
     pub leaving: bool,
 }
 
-/// Something the scheduler of a plain service has to know.
+/// Input of the scheduler of a plain service.
 #[derive(Clone, Debug)]
 pub enum PlainEvent {
-    /// A call came in.
+    /// A call arrived.
     Arrive(PlainArrival),
     /// An instance answered.
     Done {
-        /// Which call.
+        /// Request ID.
         request_id: RequestId,
     },
     /// A call failed.
     Failed {
-        /// Which call.
+        /// Request ID.
         request_id: RequestId,
-        /// Why. `NotSent`, `NoRoom` and `Leaving` prove that it did not run.
+        /// Reason.
         cause: FailureCause,
     },
     /// The caller closed its connection.
     CallerLeft {
-        /// Which call.
+        /// Request ID.
         request_id: RequestId,
     },
-    /// The instances, all of them.
+    /// Complete list of instances.
     Instances(Vec<PlainInstance>),
-    /// A sign of an instance's state, quicker than the list.
-    Sign {
-        /// Which instance.
+    /// Observed change of an instance's state, available before the list shows it.
+    StateSignal {
+        /// Server name.
         server: BackendServerId,
-        /// What it shows.
-        sign: Sign,
+        /// Observed state.
+        signal: StateSignal,
     },
-    /// A load report.
+    /// Load report of an instance.
     Load {
-        /// Which instance.
+        /// Server name.
         server: BackendServerId,
-        /// Calls that it runs, of all daemons.
+        /// Calls in flight from all daemons.
         in_flight: u32,
-        /// Calls that it runs at once.
+        /// Number of concurrent calls that it accepts.
         capacity: u32,
         /// Age of the report.
         age_us: Micros,
     },
-    /// Another daemon answered a question for a loan.
+    /// Another daemon answered a request for a loan.
     Lent {
-        /// The question.
+        /// Number of the loan request.
         number: u64,
-        /// What it lends.
+        /// Credit lent.
         credit: Credit,
-        /// What it has left.
+        /// Credit that the lender has left.
         spare: Credit,
     },
-    /// The limit that an instance states is used up.
+    /// An instance's published rate limit is used up.
     Limited {
-        /// Which instance.
+        /// Server name.
         server: BackendServerId,
-        /// The limit, and for how long.
+        /// The limit, and the time for which it is used up.
         reached: LimitReached,
     },
-    /// Time passed.
+    /// A requested wake-up time was reached.
     Tick,
 }
 
-/// Why a call was refused; it did not run.
+/// Reason for refusing a call, which did not run.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum PlainRefusal {
-    /// It would wait longer than its patience.
+    /// The expected wait exceeds the limit of the call.
     WouldWaitTooLong,
-    /// Its partner's queue is full.
+    /// The partner's queue is full.
     QueueFull,
-    /// No instance takes calls.
+    /// No instance accepts calls.
     NoInstance,
-    /// Its attempts or its partner's retries are used up; no attempt ran.
-    RetriesSpent,
+    /// The attempts of the call or the retries of its partner are used up, and no attempt ran.
+    RetriesExhausted,
 }
 
-/// Something the scheduler of a plain service wants done.
+/// Output of the scheduler of a plain service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum PlainAction {
     /// Send the call.
     Dispatch {
-        /// Which call.
+        /// Request ID.
         request_id: RequestId,
-        /// Where.
+        /// Target server.
         server: BackendServerId,
-        /// Report `Failed` with `Timeout` after this.
+        /// Time after which `Failed` with `Timeout` is reported.
         timeout_ms: Millis,
-        /// Whether an idle pooled connection may carry it: one gone silent would leave it unknown whether
-        /// a call that may not be repeated ran.
+        /// Whether a new connection is required. On a stale pooled connection it could remain unknown whether
+        /// a call that must not be repeated ran.
         fresh_connection: bool,
     },
-    /// Tell the caller that it did not run.
+    /// Refuse the call; it did not run.
     Refuse {
-        /// Which call.
+        /// Request ID.
         request_id: RequestId,
-        /// Why.
+        /// Reason.
         reason: PlainRefusal,
-        /// When another try is worth making.
+        /// Time after which a retry is useful.
         retry_after_ms: Millis,
     },
-    /// Tell the caller that it is not known whether it ran.
+    /// Tell the caller that it is unknown whether the call ran.
     Unknown {
-        /// Which call.
+        /// Request ID.
         request_id: RequestId,
     },
-    /// Ask another daemon for a loan.
+    /// Ask another daemon to lend retry credit.
     Borrow(Ask),
-    /// Send `PlainEvent::Tick` at this time.
+    /// Send [`PlainEvent::Tick`] at this time.
     Wake {
-        /// When.
+        /// Wake-up time.
         at_us: MonoTime,
     },
 }
@@ -150,20 +150,20 @@
 /// Counters of one plain service.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct PlainCounters {
-    /// Calls that came in.
+    /// Calls received.
     pub arrivals: u64,
     /// Calls answered.
     pub answered: u64,
     /// Calls refused.
     pub refused: u64,
-    /// Calls of which it is not known whether they ran.
+    /// Calls with unknown execution.
     pub unknown: u64,
-    /// Retries made.
+    /// Retries started.
     pub retries: u64,
     /// Retries denied by the budget.
     pub retries_denied: u64,
-    /// Times that an instance was set aside as slow.
+    /// Ejections of instances as slow.
     pub ejected_slow: u64,
-    /// Times that an instance was set aside as mute.
-    pub ejected_mute: u64,
+    /// Ejections of instances as unresponsive.
+    pub ejected_unresponsive: u64,
 }
--- a/crates/core/src/sched/replies.rs
+++ b/crates/core/src/sched/replies.rs
@@ -1,4 +1,4 @@
-//! What a request does with the answers of the watchers, and without them.
+//! Handling of watcher replies, and of their absence.
 
 use crate::ids::RequestId;
 use crate::slots::{AskId, DenyReason, GrantOutcome, GrantPhase, SlotMessage};
@@ -11,7 +11,7 @@
 use super::settings::PrefillStart;
 
 impl Scheduler {
-    /// Takes an answer of a watcher.
+    /// Handles a message from a watcher.
     pub(super) fn slot_message(
         &mut self,
         now_us: MonoTime,
@@ -23,18 +23,18 @@
         };
         match *message {
             SlotMessage::Queued { request_id, ask, load, .. } => {
-                self.directory.learn(now_us, index, load, Micros::ZERO);
+                self.directory.update_load(now_us, index, load, Micros::ZERO);
                 self.queued(now_us, request_id, ask);
             }
             SlotMessage::Grant { request_id, ask, load, .. } => {
-                self.directory.learn(now_us, index, load, Micros::ZERO);
+                self.directory.update_load(now_us, index, load, Micros::ZERO);
                 let hold = Hold {
                     server: index,
                     ask,
                     rate_bytes_per_s: BytesPerSecond::ZERO,
                     phase: GrantPhase::Reserved,
-                    sure: true,
-                    heard_us: now_us,
+                    guaranteed: true,
+                    last_heard_us: now_us,
                 };
                 self.granted(now_us, request_id, hold, actions);
             }
@@ -43,9 +43,9 @@
             }
             SlotMessage::Deny { request_id, ask, load, reason, retry_after_ms, .. } => {
                 if reason == DenyReason::NotWatching {
-                    self.directory.silence(index, now_us + self.settings.ask_timeout_us);
+                    self.directory.mark_unresponsive(index, now_us + self.settings.ask_timeout_us);
                 } else {
-                    self.directory.learn(now_us, index, load, Micros::ZERO);
+                    self.directory.update_load(now_us, index, load, Micros::ZERO);
                 }
                 self.denied(now_us, request_id, ask, reason, retry_after_ms, actions);
             }
@@ -59,17 +59,17 @@
         }
     }
 
-    /// The watcher has heard an ask, or that a transfer is ready, and lets it wait.
+    /// Records that the watcher queued the ask or the ready message.
     pub(super) fn queued(&mut self, now_us: MonoTime, request_id: RequestId, ask: AskId) {
         let Some(request) = self.requests.get_mut(&request_id) else {
             return;
         };
         for hold in [&mut request.turn, &mut request.slot].into_iter().flatten() {
             if hold.ask == ask {
-                hold.heard_us = now_us;
+                hold.last_heard_us = now_us;
             }
         }
-        if let Some(open) = request.ask_of(ask) {
+        if let Some(open) = request.open_ask_mut(ask) {
             open.queued = true;
         }
     }
@@ -81,9 +81,9 @@
         hold: Hold,
         actions: &mut Vec<Action>,
     ) {
-        let wanted = self.requests.get_mut(&request_id).and_then(|request| request.take_ask(hold.ask));
-        if wanted.is_none() {
-            // A repeated grant of what is held already is no news.
+        let matching_ask = self.requests.get_mut(&request_id).and_then(|request| request.take_ask(hold.ask));
+        if matching_ask.is_none() {
+            // A duplicate of a grant already held is ignored; any other unexpected grant is released.
             let repeated = self.requests.get(&request_id).is_some_and(|request| {
                 [request.turn, request.slot].into_iter().flatten().any(|held| held.ask == hold.ask)
             });
@@ -97,11 +97,12 @@
         };
         self.withdraw_asks(&mut request, actions);
         let stage = request.stage;
-        let hold = Hold { sure: wanted.is_some_and(|open| !open.bold), ..hold };
+        let hold = Hold { guaranteed: matching_ask.is_some_and(|open| !open.speculative), ..hold };
         match stage {
             Stage::AwaitTurn => {
                 request.turn = Some(hold);
-                request.uncached_tokens = wanted.map_or(request.uncached_tokens, |open| open.work_tokens);
+                request.uncached_tokens =
+                    matching_ask.map_or(request.uncached_tokens, |open| open.work_tokens);
             }
             _ => request.slot = Some(hold),
         }
@@ -114,7 +115,7 @@
             (Stage::AwaitTurn, PrefillStart::AtOnce) | (Stage::AwaitSlot, _) => {
                 self.start_prefill(now_us, request_id, actions);
             }
-            _ => self.make_ready(now_us, request_id, actions),
+            _ => self.announce_ready(now_us, request_id, actions),
         }
     }
 
@@ -142,7 +143,7 @@
             }
         }
         let moving = |hold: Option<Hold>| hold.is_some_and(|hold| hold.phase == GrantPhase::Moving);
-        if request.stage == Stage::AwaitRoom && moving(request.turn) && moving(request.slot) {
+        if request.stage == Stage::AwaitTransfer && moving(request.turn) && moving(request.slot) {
             self.start_import(now_us, request_id, actions);
         }
     }
@@ -164,7 +165,7 @@
         };
         let for_turn = request.stage == Stage::AwaitTurn;
         if for_turn {
-            request.note_tried(open.server);
+            request.record_tried(open.server);
         }
         if reason == DenyReason::WouldMissTarget || reason == DenyReason::QueueFull {
             let known_ms = request.retry_after_ms.unwrap_or(retry_after_ms);
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Looks after asks: one without any answer was lost, or its watcher is gone.
+    /// Withdraws asks that were not answered in time: the message was lost or the watcher failed.
     pub(super) fn ask_timer(&mut self, now_us: MonoTime, request_id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&request_id) else {
             return;
@@ -194,9 +195,9 @@
         }
         let for_turn = request.stage == Stage::AwaitTurn;
         for open in lost.iter().flatten() {
-            request.note_tried(open.server);
+            request.record_tried(open.server);
             self.counters.ask_timeouts += 1;
-            self.directory.silence(open.server, now_us + self.settings.silence_ms);
+            self.directory.mark_unresponsive(open.server, now_us + self.settings.unresponsive_skip_ms);
             let server = self.directory.name(open.server).clone();
             actions.push(Action::Send(SlotMessage::Withdraw { server, request_id, ask: open.ask }));
         }
@@ -208,8 +209,8 @@
         }
     }
 
-    /// A turn must not be held for ever while no slot is to be had: it is given back, and the request waits
-    /// in the queue again, with its old deadline.
+    /// Limits how long a turn is held while no slot is available: it is released, and the request queues
+    /// again with its original deadline.
     pub(super) fn slot_timer(
         &mut self,
         now_us: MonoTime,
@@ -220,9 +221,12 @@
         let Some(request) = self.requests.get(&request_id) else {
             return;
         };
-        let is_read = request.stage == Stage::AwaitRoom;
-        let until_us =
-            if is_read { request.evict_at_us } else { request.stage_since_us + self.settings.turn_hold_ms };
+        let is_prefilled = request.stage == Stage::AwaitTransfer;
+        let until_us = if is_prefilled {
+            request.evict_at_us
+        } else {
+            request.stage_since_us + self.settings.turn_hold_ms
+        };
         if now_us < until_us {
             if waits {
                 self.set_timer(request_id, until_us);
@@ -243,7 +247,7 @@
         self.ask_turn(now_us, request_id, actions);
     }
 
-    /// Sends asks again that wait at a watcher: it may have lost them, or be a new one.
+    /// Repeats the asks that a watcher has queued: it may have lost them, or be a new one.
     pub(super) fn repeat_asks(
         &mut self,
         now_us: MonoTime,
--- a/crates/core/src/sched/request.rs
+++ b/crates/core/src/sched/request.rs
@@ -3,30 +3,30 @@
 use crate::slots::{AskId, GrantPhase};
 use crate::units::{Bytes, BytesPerSecond, Millis, MonoTime, Tokens};
 
-use super::counters::RedoCause;
+use super::counters::WasteCause;
 use super::directory::ServerIndex;
 use super::events::{Arrival, Attempt};
 
-/// What a request is waiting for.
+/// Stage of a request, named after what it waits for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Stage {
-    /// Its back-off to end.
+    /// The end of the back-off.
     Backoff,
     /// A turn at a prefill server.
     AwaitTurn,
-    /// A slot at a decode server, holding a turn.
+    /// A slot at a decode server; holds a turn.
     AwaitSlot,
-    /// Its prompt to be read.
+    /// The prefill.
     Prefilling,
-    /// Both ends to let the transfer start.
-    AwaitRoom,
-    /// Its KV cache to arrive.
+    /// Both servers to confirm the transfer.
+    AwaitTransfer,
+    /// The transfer of the KV cache.
     Importing,
-    /// The rest of its answer.
+    /// The rest of the answer.
     Decoding,
 }
 
-/// An ask that was sent.
+/// Ask that was sent and not yet granted or denied.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OpenAsk {
     pub(super) server: ServerIndex,
@@ -34,29 +34,29 @@
     pub(super) sent_us: MonoTime,
     pub(super) queued: bool,
     pub(super) copies: u8,
-    /// Whether a likely slot was asked for.
-    pub(super) bold: bool,
-    /// Prompt tokens that this server has to read; zero for a slot.
+    /// Whether the ask accepts a slot that is only expected to become free.
+    pub(super) speculative: bool,
+    /// Prompt tokens to prefill at this server; zero for a slot.
     pub(super) work_tokens: Tokens,
 }
 
-/// A grant in use.
+/// Grant in use.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Hold {
     pub(super) server: ServerIndex,
     pub(super) ask: AskId,
     pub(super) rate_bytes_per_s: BytesPerSecond,
     pub(super) phase: GrantPhase,
-    /// Whether it was granted for certain, and not only as likely.
-    pub(super) sure: bool,
-    /// When its watcher was last heard, from the time on when the transfer was ready.
-    pub(super) heard_us: MonoTime,
+    /// Whether the slot was granted as free rather than as expected to become free.
+    pub(super) guaranteed: bool,
+    /// Time of the last message from its watcher since the transfer became ready.
+    pub(super) last_heard_us: MonoTime,
 }
 
-/// Servers asked at once.
+/// Maximum number of servers asked at once.
 pub(super) const COPIES_MAX: usize = 2;
 
-/// Servers that a request remembers as tried.
+/// Maximum number of tried servers remembered per request.
 pub(super) const TRIED_MAX: usize = 8;
 
 #[derive(Clone, Debug)]
@@ -79,7 +79,7 @@
     pub(super) timer_us: Option<MonoTime>,
     pub(super) uncached_tokens: Tokens,
     pub(super) kv_bytes: Bytes,
-    pub(super) redo: Option<RedoCause>,
+    pub(super) restart_cause: Option<WasteCause>,
     pub(super) prefilled: Tokens,
     pub(super) resumed: bool,
     pub(super) tokens: Tokens,
@@ -107,7 +107,7 @@
             timer_us: None,
             uncached_tokens: arrival.prompt_tokens,
             kv_bytes: Bytes::ZERO,
-            redo: None,
+            restart_cause: None,
             prefilled: Tokens::ZERO,
             resumed: false,
             tokens: Tokens::ZERO,
@@ -122,32 +122,32 @@
         self.stage_since_us = now_us;
     }
 
-    /// Whether work on it ever began.
+    /// Whether any work on the request was started.
     pub(super) fn has_run(&self) -> bool {
         self.attempt > Attempt(0)
     }
 
-    /// Tokens that a prefill has to read: the prompt, and what was answered already.
+    /// Tokens to prefill: the prompt and the tokens generated so far.
     pub(super) fn prefill_tokens(&self) -> Tokens {
         self.arrival.prompt_tokens + self.tokens
     }
 
-    pub(super) fn ask_of(&mut self, ask: AskId) -> Option<&mut OpenAsk> {
+    pub(super) fn open_ask_mut(&mut self, ask: AskId) -> Option<&mut OpenAsk> {
         self.asks.iter_mut().flatten().find(|open| open.ask == ask)
     }
 
     pub(super) fn take_ask(&mut self, ask: AskId) -> Option<OpenAsk> {
-        let place = self.asks.iter_mut().find(|open| open.is_some_and(|open| open.ask == ask))?;
-        place.take()
+        let entry = self.asks.iter_mut().find(|open| open.is_some_and(|open| open.ask == ask))?;
+        entry.take()
     }
 
     pub(super) fn has_asks(&self) -> bool {
         self.asks.iter().any(Option::is_some)
     }
 
-    pub(super) fn note_tried(&mut self, server: ServerIndex) {
-        if let Some(place) = self.tried.iter_mut().find(|place| place.is_none()) {
-            *place = Some(server);
+    pub(super) fn record_tried(&mut self, server: ServerIndex) {
+        if let Some(vacancy) = self.tried.iter_mut().find(|vacancy| vacancy.is_none()) {
+            *vacancy = Some(server);
         }
     }
 }
--- a/crates/core/src/sched/retry.rs
+++ b/crates/core/src/sched/retry.rs
@@ -1,71 +1,71 @@
-//! Budget of one partner's retries.
+//! Retry budget of one partner.
 
-/// Retries are paid for by arrivals.
+/// Retry budget that is filled by arrivals.
 ///
-/// Load: a server that fails what it is given, or a data centre that is cut off. Harm prevented: each failed
-/// request comes back as new work, the servers that remain get more of it, time out in turn, and the storm
-/// outlives its cause. With a budget, retries add a fixed part to the load and no more. One budget for each
-/// partner, so that one partner's failures do not use up the other's retries.
+/// When a server fails its requests or a data centre is cut off, unlimited retries add load to the remaining
+/// servers until those time out too, and the retry storm outlasts its cause. With a budget, retries add a
+/// fixed fraction to the load. Each partner has its own budget, so that its failures do not use up the
+/// retries of others.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// Below zero after a charge that could not be refused.
+    /// Negative after a charge that could not be refused.
     hundredths: i64,
     burst_hundredths: i64,
     percent: i64,
 }
 
-const WHOLE: i64 = 100;
+const HUNDREDTHS_PER_RETRY: i64 = 100;
 
 impl RetryBudget {
-    /// A full budget that each arrival fills by `percent` of a retry, up to `burst` retries.
+    /// Creates a full budget that each arrival fills by `percent` of a retry, up to `burst` retries.
     pub fn new(percent: u64, burst: u64) -> Self {
-        let burst_hundredths = whole(burst);
-        Self { hundredths: burst_hundredths, burst_hundredths, percent: signed(percent) }
+        let burst_hundredths = to_hundredths(burst);
+        Self { hundredths: burst_hundredths, burst_hundredths, percent: saturating_i64(percent) }
     }
 
-    /// An empty budget, filled in the same way. For budgets that several daemons share: a daemon that starts
-    /// again and again would otherwise spend a full one each time.
+    /// Creates an empty budget. For budgets shared by several daemons: a daemon that restarts repeatedly
+    /// would otherwise spend a full budget each time.
     pub fn empty(percent: u64, burst: u64) -> Self {
         Self { hundredths: 0, ..Self::new(percent, burst) }
     }
 
-    /// Changes what arrivals pay for and what is saved up at most.
+    /// Changes the retries earned per arrival and the maximum saved.
     pub fn configure(&mut self, percent: u64, burst: u64) {
-        self.percent = signed(percent);
-        self.burst_hundredths = whole(burst);
+        self.percent = saturating_i64(percent);
+        self.burst_hundredths = to_hundredths(burst);
         self.hundredths = self.hundredths.min(self.burst_hundredths);
     }
 
-    /// A request arrived.
+    /// Credits one arrival.
     pub fn deposit(&mut self) {
         self.hundredths = (self.hundredths + self.percent).min(self.burst_hundredths);
     }
 
-    /// Whether so many retries could be taken.
+    /// Whether the budget covers `retries` retries.
     pub fn has(&self, retries: u64) -> bool {
-        self.hundredths >= whole(retries)
+        self.hundredths >= to_hundredths(retries)
     }
 
-    /// Takes one retry that was made already: something that was free by itself came to count. What is owed is paid
-    /// off by the next arrivals.
+    /// Charges a retry that was already made and turned out not to be free. The debt is repaid by the next
+    /// arrivals.
     pub fn charge(&mut self) {
-        self.hundredths -= WHOLE;
+        self.hundredths -= HUNDREDTHS_PER_RETRY;
     }
 
-    /// Takes one retry; false when the budget is spent.
+    /// Takes one retry; returns false if the budget is exhausted.
     pub fn withdraw(&mut self) -> bool {
-        let enough = self.hundredths >= WHOLE;
+        let enough = self.hundredths >= HUNDREDTHS_PER_RETRY;
         if enough {
-            self.hundredths -= WHOLE;
+            self.hundredths -= HUNDREDTHS_PER_RETRY;
         }
         enough
     }
 }
 
-fn whole(retries: u64) -> i64 {
-    signed(retries).saturating_mul(WHOLE)
+fn to_hundredths(retries: u64) -> i64 {
+    saturating_i64(retries).saturating_mul(HUNDREDTHS_PER_RETRY)
 }
 
-fn signed(number: u64) -> i64 {
+fn saturating_i64(number: u64) -> i64 {
     i64::try_from(number).unwrap_or(i64::MAX)
 }
--- a/crates/core/src/sched/running.rs
+++ b/crates/core/src/sched/running.rs
@@ -1,10 +1,10 @@
-//! A request on its way through the engines: started, moved, answered, or failed.
+//! Steps of a request at the engines: prefill, transfer and decode.
 
 use crate::ids::RequestId;
 use crate::slots::{GrantOutcome, GrantPhase, SlotMessage};
 use crate::units::{Bytes, BytesPerSecond, Micros, Millis, MonoTime, Tokens};
 
-use super::counters::RedoCause;
+use super::counters::WasteCause;
 use super::directory::ServerIndex;
 use super::events::{Action, Attempt};
 use super::placing::transfer_us;
@@ -12,19 +12,19 @@
 use super::scheduler::Scheduler;
 use super::settings::PrefillStart;
 
-/// Engine priorities: work in time, and work past its target.
+/// Engine priorities of requests within and past their first-token target.
 const PRIORITY_IN_TIME: u8 = 1;
 const PRIORITY_LATE: u8 = 2;
 
-/// Part of the link that a transfer without confirmation takes, as a divisor: the smallest that a watcher
-/// would give.
-const UNCONFIRMED_LINK_PART: u64 = 4;
+/// A transfer without confirmation gets the link bandwidth divided by this: the smallest share that a watcher
+/// grants.
+const UNCONFIRMED_LINK_DIVISOR: u64 = 4;
 
-/// Weight of a new observation of the KV cache's size.
+/// Weight of a new sample in the average size of the KV cache per token.
 const KV_WEIGHT: f64 = 0.05;
 
 impl Scheduler {
-    /// Starts the prefill: a turn is held and, except in the baseline, a slot.
+    /// Starts the prefill. A turn is held and, unless the start is [`PrefillStart::AtOnce`], a slot.
     pub(super) fn start_prefill(
         &mut self,
         now_us: MonoTime,
@@ -51,19 +51,19 @@
             server: self.directory.name(turn.server).clone(),
             from_index: request.tokens,
             priority: priority(now_us, request),
-            redo: request.redo.take(),
+            restart_cause: request.restart_cause.take(),
         });
         let tokens = request.prefill_tokens();
         let work_us = self.directory.work_us(turn.server, tokens, self.settings.prefill_token_us);
-        let patience_us = self.patience(work_us);
+        let timeout_us = self.timeout_for(work_us);
         let factor =
-            if self.directory.speed_is_known(turn.server) { 1 } else { self.settings.unknown_factor };
-        self.set_timer(request_id, now_us + Micros(patience_us.0 * factor));
+            if self.directory.has_measured_speed(turn.server) { 1 } else { self.settings.unmeasured_factor };
+        self.set_timer(request_id, now_us + Micros(timeout_us.0 * factor));
     }
 
-    /// Time after which a call is taken for lost. A multiple of what it should take, so that a server ten
-    /// times slower is found out and a merely busy one is not.
-    fn patience(&self, expected_us: Micros) -> Micros {
+    /// Timeout of a step: a multiple of its expected duration, so that a server ten times slower is detected
+    /// and a merely busy one is not.
+    fn timeout_for(&self, expected_us: Micros) -> Micros {
         let floor_us = Micros::from(self.settings.timeout_floor_ms);
         Micros(expected_us.0 * self.settings.timeout_factor).max(floor_us)
     }
@@ -83,34 +83,39 @@
             return;
         };
         let whole = request.prefill_tokens();
-        let worked = whole.saturating_sub(cached_tokens);
-        request.prefilled = worked;
+        let prefilled_tokens = whole.saturating_sub(cached_tokens);
+        request.prefilled = prefilled_tokens;
         request.kv_bytes = kv_bytes;
         let blocks = std::mem::take(&mut request.arrival.blocks);
         let Some(index) = request.turn.map(|turn| turn.server) else {
             return;
         };
-        self.counters.prefill_tokens += worked;
+        self.counters.prefill_tokens += prefilled_tokens;
         let per_token = kv_bytes.0 as f64 / whole.0.max(1) as f64;
         self.kv_bytes_per_token += KV_WEIGHT * (per_token - self.kv_bytes_per_token);
-        // The prompt is in that server's cache now; its own event to say so comes late.
+        // The prompt is now cached at that server; the server's own event arrives later.
         for &block in &blocks {
             self.affinity.store(index, block);
         }
         if let Some(request) = self.requests.get_mut(&request_id) {
             request.arrival.blocks = blocks;
             request.evict_at_us = now_us + evict_after_ms;
-            request.enter(now_us, Stage::AwaitRoom);
+            request.enter(now_us, Stage::AwaitTransfer);
         }
-        self.make_ready(now_us, request_id, actions);
+        self.announce_ready(now_us, request_id, actions);
         if self.settings.start == PrefillStart::AtOnce {
             self.ask_slot(now_us, request_id, actions);
         }
     }
 
-    /// Tells both ends that the result can be moved, again if they were told before: their answer may be
-    /// lost.
-    pub(super) fn make_ready(&mut self, now_us: MonoTime, request_id: RequestId, actions: &mut Vec<Action>) {
+    /// Tells both servers that the transfer is ready, and repeats the message until they confirm: their
+    /// answer may be lost.
+    pub(super) fn announce_ready(
+        &mut self,
+        now_us: MonoTime,
+        request_id: RequestId,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(request) = self.requests.get_mut(&request_id) else {
             return;
         };
@@ -121,7 +126,7 @@
             }
             if hold.phase < GrantPhase::Ready {
                 hold.phase = GrantPhase::Ready;
-                hold.heard_us = now_us;
+                hold.last_heard_us = now_us;
             }
             actions.push(Action::Send(SlotMessage::Ready {
                 server: self.directory.name(hold.server).clone(),
@@ -131,25 +136,31 @@
                 work_tokens: request.prefilled,
             }));
         }
-        let again_us = now_us + self.settings.ask_timeout_us;
-        let at_us = again_us.min(request.evict_at_us);
+        let repeat_us = now_us + self.settings.ask_timeout_us;
+        let at_us = repeat_us.min(request.evict_at_us);
         self.set_timer(request_id, at_us);
     }
 
-    /// Waiting for room with a prefill result in hand: until the engine evicts it there is hope.
-    pub(super) fn room_timer(&mut self, now_us: MonoTime, request_id: RequestId, actions: &mut Vec<Action>) {
+    /// Handles the timer of a request whose prefill result waits for its transfer, until the engine evicts
+    /// the result.
+    pub(super) fn transfer_timer(
+        &mut self,
+        now_us: MonoTime,
+        request_id: RequestId,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(request) = self.requests.get(&request_id) else {
             return;
         };
         if now_us >= request.evict_at_us {
-            self.redo(now_us, request_id, RedoCause::Evicted, GrantOutcome::Abandoned, actions);
+            self.restart(now_us, request_id, WasteCause::Evicted, GrantOutcome::Abandoned, actions);
             return;
         }
         if request.slot.is_none() {
             self.ask_timer(now_us, request_id, actions);
             return;
         }
-        self.confirm_for_silent(now_us, request_id);
+        self.confirm_without_watcher(now_us, request_id);
         let moving = |hold: Option<Hold>| hold.is_some_and(|hold| hold.phase == GrantPhase::Moving);
         let is_confirmed = self
             .requests
@@ -158,30 +169,30 @@
         if is_confirmed {
             self.start_import(now_us, request_id, actions);
         } else {
-            self.make_ready(now_us, request_id, actions);
+            self.announce_ready(now_us, request_id, actions);
         }
     }
 
-    /// Lets a transfer start for a watcher that is silent.
+    /// Starts a transfer without the confirmation of an unresponsive watcher.
     ///
-    /// A daemon dies, and with it the watcher that should let the transfer start; its successor comes when
-    /// the prefill result is already evicted. Or transfers of a dead daemon seem to hold the link until their
-    /// grants run out; then, too, a transfer starts just before its result would be evicted. A slot granted
-    /// for certain is there, so the engine has room; what may happen is that the link is shared once too
-    /// often for the time of one transfer.
-    fn confirm_for_silent(&mut self, now_us: MonoTime, request_id: RequestId) {
+    /// When a daemon fails, so does the watcher that has to confirm the transfer, and its successor takes
+    /// over only after the prefill result is evicted. Transfers of a failed daemon can also appear to occupy
+    /// the link until their grants expire; for that case a transfer starts shortly before its result would be
+    /// evicted. A slot granted as free exists, so the engine has capacity; the cost is that the link may be
+    /// shared by one transfer too many.
+    fn confirm_without_watcher(&mut self, now_us: MonoTime, request_id: RequestId) {
         let Some(request) = self.requests.get_mut(&request_id) else {
             return;
         };
-        let last_call = now_us + self.settings.last_call_ms >= request.evict_at_us;
+        let eviction_near = now_us + self.settings.eviction_lead_ms >= request.evict_at_us;
         for hold in [&mut request.turn, &mut request.slot].into_iter().flatten() {
-            let silent = now_us >= hold.heard_us + self.settings.confirm_silence_ms;
-            if hold.phase == GrantPhase::Ready && hold.sure && (silent || last_call) {
-                let known = self.directory.get(hold.server);
-                let link = known.map_or(0, |known| known.record.link_bytes_per_s.0);
+            let unresponsive = now_us >= hold.last_heard_us + self.settings.confirm_timeout_ms;
+            if hold.phase == GrantPhase::Ready && hold.guaranteed && (unresponsive || eviction_near) {
+                let entry = self.directory.get(hold.server);
+                let link = entry.map_or(0, |entry| entry.record.link_bytes_per_s.0);
                 hold.phase = GrantPhase::Moving;
-                hold.rate_bytes_per_s = BytesPerSecond(link / UNCONFIRMED_LINK_PART);
-                self.counters.unconfirmed += 1;
+                hold.rate_bytes_per_s = BytesPerSecond(link / UNCONFIRMED_LINK_DIVISOR);
+                self.counters.unconfirmed_transfers += 1;
             }
         }
     }
@@ -209,7 +220,7 @@
             rate_bytes_per_s,
         });
         let move_us = transfer_us(request.kv_bytes, rate_bytes_per_s);
-        self.set_timer(request_id, now_us + self.patience(move_us));
+        self.set_timer(request_id, now_us + self.timeout_for(move_us));
     }
 
     pub(super) fn imported(
@@ -242,14 +253,14 @@
             server,
             from_index,
             resume: false,
-            silence_ms: self.silence_ms(index),
+            token_timeout_ms: self.token_timeout_ms(index),
         });
     }
 
-    pub(super) fn silence_ms(&self, server: ServerIndex) -> Millis {
-        let tokens = Tokens(self.settings.silence_tokens);
-        let usual_us = self.directory.work_us(server, tokens, self.settings.decode_token_us);
-        usual_us.to_millis_ceil().max(self.settings.stream_silence_ms)
+    pub(super) fn token_timeout_ms(&self, server: ServerIndex) -> Millis {
+        let tokens = Tokens(self.settings.token_timeout_tokens);
+        let expected_us = self.directory.work_us(server, tokens, self.settings.decode_token_us);
+        expected_us.to_millis_ceil().max(self.settings.token_timeout_min_ms)
     }
 
     pub(super) fn first_token(&mut self, now_us: MonoTime, request_id: RequestId) {
@@ -279,8 +290,8 @@
             return;
         };
         self.counters.answered += 1;
-        self.counters.good += u64::from(is_good(now_us, &request, tokens));
-        self.learn_answer(request.partner, &request.arrival.class, tokens);
+        self.counters.met_targets += u64::from(met_targets(now_us, &request, tokens));
+        self.record_answer_length(request.partner, &request.arrival.class, tokens);
     }
 
     pub(super) fn current(
@@ -299,13 +310,13 @@
     if now_us <= request.deadline_us { PRIORITY_IN_TIME } else { PRIORITY_LATE }
 }
 
-/// Whether both targets were met: the first token's, and the mean of the others.
-fn is_good(now_us: MonoTime, request: &Request, tokens: Tokens) -> bool {
+/// Whether the request met the first-token target and, on average, the per-token target.
+fn met_targets(now_us: MonoTime, request: &Request, tokens: Tokens) -> bool {
     let Some(first_us) = request.first_token_us else {
         return false;
     };
     let per_token_us = Micros::from(request.arrival.per_token_target_ms).0;
-    let further = tokens.0.saturating_sub(1);
-    let in_pace = per_token_us == 0 || now_us.since(first_us).0 <= per_token_us * further;
-    first_us <= request.deadline_us && in_pace
+    let later_tokens = tokens.0.saturating_sub(1);
+    let token_rate_met = per_token_us == 0 || now_us.since(first_us).0 <= per_token_us * later_tokens;
+    first_us <= request.deadline_us && token_rate_met
 }
--- a/crates/core/src/sched/scheduler.rs
+++ b/crates/core/src/sched/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler of one daemon: events in, actions out.
+//! Scheduler of one daemon: turns events into actions.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -12,7 +12,7 @@
 
 use super::affinity::AffinityIndex;
 use super::counters::{Counters, RefusalReason, clamp_retry_after};
-use super::directory::{Directory, ServerIndex, Sign};
+use super::directory::{Directory, ServerIndex, StateSignal};
 use super::events::{Action, Arrival, Event};
 use super::request::{Hold, Request, Stage};
 use super::retry::RetryBudget;
@@ -23,16 +23,16 @@
     pub(super) id: PartnerId,
     pub(super) budget: RetryBudget,
     pub(super) open: usize,
-    /// Usual length of an answer, by class: a class that asks for 500 tokens and gets 40 must not be
-    /// charged, nor reckoned, for 500.
+    /// Average answer length by class. A class that allows 500 tokens and uses 40 must not be charged or
+    /// planned for 500.
     answer_tokens: HashMap<ClassName, f64>,
 }
 
-/// Decides for the requests of one daemon.
+/// Schedules the requests of one daemon.
 ///
-/// Load: anything from idle to several times the capacity, with partners that surge or publish absurd
-/// targets. It holds no queue of its own: requests wait at the watchers of the servers they want, where
-/// all daemons' requests meet, and here only their number is bounded.
+/// It handles any load up to several times the capacity, with partners that surge or publish absurd targets.
+/// It has no queue: requests wait at the watchers of the servers, where the requests of all daemons meet;
+/// only their number is bounded here.
 #[derive(Debug)]
 pub struct Scheduler {
     pub(super) settings: SchedulerSettings,
@@ -50,11 +50,11 @@
     wake_us: Option<MonoTime>,
 }
 
-/// Weight of a new answer length.
+/// Weight of a new sample in the average answer length.
 const ANSWER_WEIGHT: f64 = 0.05;
 
 impl Scheduler {
-    /// A scheduler that knows no servers yet. The seed decides all its random choices.
+    /// Creates a scheduler without servers. The seed determines all random choices.
     pub fn new(settings: SchedulerSettings, seed: u64) -> Self {
         Self {
             settings,
@@ -73,26 +73,26 @@
         }
     }
 
-    /// What it decided so far.
+    /// Counters since creation.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Requests not yet ended.
+    /// Number of open requests.
     pub fn open_len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Requests that wait for a server.
+    /// Number of requests that wait for a server.
     pub fn waiting_len(&self) -> usize {
         let waits = |stage| matches!(stage, Stage::Backoff | Stage::AwaitTurn | Stage::AwaitSlot);
         self.requests.values().filter(|request| waits(request.stage)).count()
     }
 
-    /// Takes an event and pushes what is to be done.
+    /// Handles an event and appends the resulting actions.
     pub fn handle(&mut self, now_us: MonoTime, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Arrive(arrival) => self.arrive(now_us, arrival, actions),
+            Event::Arrive(arrival) => self.admit(now_us, arrival, actions),
             Event::Slot(message) => self.slot_message(now_us, &message, actions),
             Event::PrefillDone { request_id, attempt, kv_bytes, cached_tokens, evict_after_ms } => {
                 self.prefill_done(
@@ -115,7 +115,7 @@
             Event::CallerLeft { request_id } => self.caller_left(request_id, actions),
             Event::Load { server, load, age_us } => {
                 if let Some(index) = self.directory.index(&server) {
-                    self.directory.learn(now_us, index, load, age_us);
+                    self.directory.update_load(now_us, index, load, age_us);
                 }
             }
             Event::Cache { server, events } => {
@@ -125,10 +125,10 @@
                     }
                 }
             }
-            Event::Sign { server, sign } => {
-                let until_us = self.sign_until(now_us, sign);
+            Event::StateSignal { server, signal } => {
+                let until_us = self.signal_expiry(now_us, signal);
                 if let Some(index) = self.directory.index(&server) {
-                    self.directory.sign(index, sign, until_us);
+                    self.directory.apply_signal(index, signal, until_us);
                 }
             }
             Event::Servers(records) => self.directory.replace(records),
@@ -136,23 +136,23 @@
             Event::Tick => {}
         }
         self.run_timers(now_us, actions);
-        self.renew_due(now_us, actions);
-        self.wake(now_us, actions);
+        self.renew_if_due(now_us, actions);
+        self.schedule_wake(now_us, actions);
     }
 
-    pub(super) fn sign_until(&self, now_us: MonoTime, sign: Sign) -> MonoTime {
-        match sign {
-            Sign::Leaving => now_us + self.settings.sign_life_ms,
-            Sign::Live | Sign::Silent => now_us + self.settings.silence_ms,
+    pub(super) fn signal_expiry(&self, now_us: MonoTime, signal: StateSignal) -> MonoTime {
+        match signal {
+            StateSignal::Leaving => now_us + self.settings.signal_ttl_ms,
+            StateSignal::Live | StateSignal::Unresponsive => now_us + self.settings.unresponsive_skip_ms,
         }
     }
 
-    /// Takes a request in, or refuses it.
+    /// Admits a request or refuses it.
     ///
-    /// Load: a surge, far above what all servers can do. Harm prevented: the daemon's memory filling with
-    /// requests that nobody can serve in time, and the other partner's requests finding no room. When the
-    /// daemon is full only partners below an equal part of the room are still taken in.
-    fn arrive(&mut self, now_us: MonoTime, arrival: Arrival, actions: &mut Vec<Action>) {
+    /// In a surge far above the capacity of all servers, the bound keeps the daemon's memory from filling
+    /// with requests that cannot be served in time. When the daemon is full, only partners below an equal
+    /// share of the open requests are admitted, so that a surge of one partner does not shut out the others.
+    fn admit(&mut self, now_us: MonoTime, arrival: Arrival, actions: &mut Vec<Action>) {
         self.counters.arrivals += 1;
         let partner = self.partner_index(&arrival.partner);
         self.partners[partner].budget.deposit();
@@ -161,12 +161,12 @@
             return;
         }
         let full = self.requests.len() >= self.settings.open_max;
-        let fair_part = self.settings.open_max / (self.partners.len().max(1) * 2);
+        let fair_share = self.settings.open_max / (self.partners.len().max(1) * 2);
         let hard_full = self.requests.len() >= self.settings.open_max * 2;
         self.partners[partner].open += 1;
         let request = Request::new(now_us, arrival, partner);
         self.requests.insert(request_id, request);
-        if hard_full || (full && self.partners[partner].open > fair_part) {
+        if hard_full || (full && self.partners[partner].open > fair_share) {
             self.refuse(request_id, RefusalReason::DaemonFull, Millis::ZERO, actions);
             return;
         }
@@ -185,19 +185,19 @@
     }
 
     pub(super) fn expected_answer(&self, request: &Request) -> Tokens {
-        let usual = self.partners[request.partner].answer_tokens.get(&request.arrival.class);
+        let average = self.partners[request.partner].answer_tokens.get(&request.arrival.class);
         let longest = request.arrival.max_tokens.saturating_sub(request.tokens);
-        usual.map_or(longest, |&tokens| whole(tokens).min(longest))
+        average.map_or(longest, |&tokens| ceil_tokens(tokens).min(longest))
     }
 
-    pub(super) fn learn_answer(&mut self, partner: usize, class: &ClassName, tokens: Tokens) {
+    pub(super) fn record_answer_length(&mut self, partner: usize, class: &ClassName, tokens: Tokens) {
         let seen = tokens.0 as f64;
-        let usual = self.partners[partner].answer_tokens.entry(class.clone()).or_insert(seen);
-        *usual += ANSWER_WEIGHT * (seen - *usual);
+        let average = self.partners[partner].answer_tokens.entry(class.clone()).or_insert(seen);
+        *average += ANSWER_WEIGHT * (seen - *average);
     }
 
     pub(super) fn kv_estimate(&self, tokens: Tokens) -> Bytes {
-        Bytes(whole(self.kv_bytes_per_token * tokens.0 as f64).0)
+        Bytes(ceil_tokens(self.kv_bytes_per_token * tokens.0 as f64).0)
     }
 
     pub(super) fn new_ask(&mut self) -> AskId {
@@ -205,7 +205,7 @@
         AskId(self.next_ask)
     }
 
-    /// Ends a request of which nothing ran.
+    /// Refuses a request of which nothing ran.
     pub(super) fn refuse(
         &mut self,
         request_id: RequestId,
@@ -219,7 +219,7 @@
         actions.push(Action::Refuse { request_id, reason, retry_after_ms });
     }
 
-    /// Takes a request off the books and gives back all it holds.
+    /// Removes a request and releases everything it holds.
     pub(super) fn close(
         &mut self,
         request_id: RequestId,
@@ -275,24 +275,24 @@
                 continue;
             }
             request.timer_us = None;
-            self.timer(now_us, request_id, actions);
+            self.handle_timer(now_us, request_id, actions);
         }
     }
 
-    fn timer(&mut self, now_us: MonoTime, request_id: RequestId, actions: &mut Vec<Action>) {
+    fn handle_timer(&mut self, now_us: MonoTime, request_id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&request_id) else {
             return;
         };
         match request.stage {
             Stage::Backoff => self.ask_turn(now_us, request_id, actions),
             Stage::AwaitTurn | Stage::AwaitSlot => self.ask_timer(now_us, request_id, actions),
-            Stage::AwaitRoom => self.room_timer(now_us, request_id, actions),
+            Stage::AwaitTransfer => self.transfer_timer(now_us, request_id, actions),
             Stage::Prefilling | Stage::Importing => self.step_timeout(now_us, request_id, actions),
             Stage::Decoding => {}
         }
     }
 
-    fn wake(&mut self, now_us: MonoTime, actions: &mut Vec<Action>) {
+    fn schedule_wake(&mut self, now_us: MonoTime, actions: &mut Vec<Action>) {
         let timer_us = self.timers.peek().map(|&Reverse((at_us, _))| at_us);
         let renew_us = (!self.requests.is_empty()).then_some(self.renew_at_us);
         let next_us = timer_us.into_iter().chain(renew_us).min();
@@ -305,11 +305,11 @@
         }
     }
 
-    /// Tells each watcher which of its grants are still in use, and repeats asks that wait.
+    /// Sends each watcher the list of its grants still in use, and repeats queued asks.
     ///
-    /// Harm prevented: a lost release would keep a slot idle for ever, a lost grant would leave a request
-    /// waiting; the list mends both within a period, and a new watcher learns from it what it did not grant.
-    fn renew_due(&mut self, now_us: MonoTime, actions: &mut Vec<Action>) {
+    /// A lost release would keep a slot occupied forever and a lost grant would leave a request waiting; the
+    /// list repairs both within one period, and tells a new watcher of the grants that its predecessor made.
+    fn renew_if_due(&mut self, now_us: MonoTime, actions: &mut Vec<Action>) {
         if now_us < self.renew_at_us {
             return;
         }
@@ -335,7 +335,7 @@
         }
     }
 
-    /// Registers at a new watcher: the grants in use, also when there are none, and the asks that wait.
+    /// Registers at a new watcher with the grants in use, even if there are none, and repeats the open asks.
     fn watcher_changed(&mut self, now_us: MonoTime, server: &BackendServerId, actions: &mut Vec<Action>) {
         let Some(index) = self.directory.index(server) else {
             return;
@@ -388,7 +388,7 @@
     }
 }
 
-/// Time for one token of the answer since the last look; zero when no token came and little time passed.
+/// Average time per token since the last renewal; zero if no token was generated or the span is too short.
 fn observed_token_us(now_us: MonoTime, request: &Request) -> Micros {
     if request.stage != Stage::Decoding || request.first_token_us.is_none() {
         return Micros::ZERO;
@@ -402,10 +402,10 @@
     Micros(span_us / written)
 }
 
-/// Shorter spans hold too few tokens for a speed.
+/// Shorter spans contain too few tokens for an estimate.
 const MIN_PROGRESS_US: u64 = 200_000;
 
 #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "a count that is never negative")]
-fn whole(count: f64) -> Tokens {
+fn ceil_tokens(count: f64) -> Tokens {
     Tokens(count.max(0.0).ceil() as u64)
 }
--- a/crates/core/src/sched/settings.rs
+++ b/crates/core/src/sched/settings.rs
@@ -1,97 +1,100 @@
-//! Limits of the scheduler, each with its reason.
+//! Limits of the scheduler.
 
 use crate::units::{Bytes, Micros, Millis};
 
-/// When a prefill may start.
+/// Condition for starting a prefill.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum PrefillStart {
-    /// When a decode slot and a share of its link are granted.
+    /// A decode slot and a share of its link are granted.
     #[default]
     AfterReservation,
-    /// As soon as the prefill server has a turn. Kept as the baseline that the outcome table compares with.
+    /// The prefill server grants a turn. Baseline of the outcome comparison.
     AtOnce,
 }
 
 /// Limits of a [`super::Scheduler`].
 #[derive(Clone, Copy, Debug)]
 pub struct SchedulerSettings {
-    /// When a prefill may start.
+    /// Condition for starting a prefill.
     pub start: PrefillStart,
-    /// Requests that may be open at one daemon. Memory bound: about 1 KB each.
+    /// Maximum number of open requests per daemon. Memory bound: about 1 KB each.
     pub open_max: usize,
-    /// Servers looked at for one placement. Two random choices already take most of the imbalance away; the
-    /// further ones pay for stale knowledge. Fixed, so that the cost does not grow with the pool.
-    pub sample: usize,
-    /// Answer time of a watcher: several round trips inside a region. Longer would eat the slack of tight
-    /// classes, shorter would take a busy daemon for a dead one.
+    /// Servers sampled for one placement. Two random choices remove most of the imbalance; the others
+    /// compensate for stale load data. Fixed, so that the cost does not grow with the pool.
+    pub sample_size: usize,
+    /// Timeout of a watcher reply: several round trips inside a region. Longer would use up the slack of
+    /// tight classes; shorter would take a busy daemon for a failed one.
     pub ask_timeout_us: Micros,
-    /// Times that a request looks for other servers after it was denied. A second sample catches an unlucky
-    /// first; more would turn overload into a storm of asks.
+    /// Maximum number of sampling rounds after denials. A second sample makes up for an unlucky first; more
+    /// would multiply the asks under overload.
     pub ask_rounds: u8,
-    /// Pause before watchers are asked again of which none answered.
-    pub unknown_pause_ms: Millis,
-    /// Time for which a turn waits for a slot. The prefill server may be idle meanwhile, but without a slot
-    /// its result would be thrown away.
+    /// Wait before asking again when no watcher answered.
+    pub no_answer_backoff_ms: Millis,
+    /// Longest time for which a turn is held while waiting for a slot. The prefill server may be idle
+    /// meanwhile, but without a slot its result would be discarded.
     pub turn_hold_ms: Millis,
-    /// A request with time left for its prefill and less than this besides may start on a likely slot. Zero:
-    /// no request does. Measured, it brought no goodput that the seeds' luck did not outweigh, and with
-    /// everything marked tightest it wasted more than the bound of 1 % of the prefill work.
-    pub bold_below_ms: Millis,
-    /// Pause before slots are asked for again after all were denied.
+    /// A request with time for its prefill and less slack than this may start on a slot that is only expected
+    /// to become free. Zero disables it: in measurements the gain in goodput was within the variation between
+    /// seeds, and with all requests in the tightest class it wasted more than the bound of 1 % of the prefill
+    /// work.
+    pub speculative_slack_ms: Millis,
+    /// Wait before asking again when all slots were denied.
     pub slot_retry_ms: Millis,
-    /// Period in which held grants are renewed: a third of a grant's life.
+    /// Renewal period of held grants: a third of the lifetime of a grant.
     pub renew_ms: Millis,
-    /// Wait that is taken in for a request whose answer has begun and broke off.
-    pub gap_ms: Millis,
-    /// Part of the first-token target kept back for what estimates miss, in percent.
+    /// Accepted wait for a request whose answer was interrupted.
+    pub resume_slack_ms: Millis,
+    /// Share of the first-token target reserved for estimation errors, in percent.
     pub margin_percent: u64,
-    /// Messages and connection set-up between grant and first token.
+    /// Time for messages and connection set-up between grant and first token.
     pub overhead_us: Micros,
-    /// A call is given up after so many times its expected time.
+    /// Timeout of a step as a multiple of its expected duration.
     pub timeout_factor: u64,
-    /// At a server whose speed was never seen, so many times longer still: the expected time is a guess.
-    pub unknown_factor: u64,
-    /// And never before this, so that a pause of the scheduler's host is not taken for a mute server.
+    /// Additional timeout factor for a server whose speed was never measured, where the expected duration is
+    /// a guess.
+    pub unmeasured_factor: u64,
+    /// Lower bound of the timeout, so that a pause of the scheduler's host is not taken for an unresponsive
+    /// server.
     pub timeout_floor_ms: Millis,
-    /// Time without a token after which a decode stream counts as silent.
-    pub stream_silence_ms: Millis,
-    /// And the time of so many tokens at that server's speed, if that is longer.
-    pub silence_tokens: u64,
-    /// Silence of a watcher after which a transfer starts without it. Many repeats of the message, and short
-    /// enough that the result is not yet evicted.
-    pub confirm_silence_ms: Millis,
-    /// Time before its eviction at which a result is moved without the watchers' word: four repeats of the
-    /// message, so that a lost one does not decide.
-    pub last_call_ms: Millis,
-    /// Time for which a prefill result is kept when the engine did not say.
+    /// Lower bound of the time between tokens after which a decode stream counts as stalled.
+    pub token_timeout_min_ms: Millis,
+    /// That limit in token times at the server's speed, if longer.
+    pub token_timeout_tokens: u64,
+    /// Time without a watcher message after which a transfer starts unconfirmed. Covers many repeats of the
+    /// ready message and is short enough that the result is not yet evicted.
+    pub confirm_timeout_ms: Millis,
+    /// Time before its eviction at which a result is transferred unconfirmed: four repeats of the ready
+    /// message, so that a single lost message does not matter.
+    pub eviction_lead_ms: Millis,
+    /// Time until a prefill result is evicted, if the engine does not state it.
     pub evict_after_ms: Millis,
-    /// KV cache of one token until it was observed.
+    /// Assumed size of the KV cache per token until measured.
     pub kv_bytes_per_token: Bytes,
-    /// Tokens that one cache block stands for.
+    /// Tokens per cache block.
     pub block_tokens: u64,
-    /// Blocks of the affinity index, about 40 bytes each.
+    /// Maximum number of blocks in the affinity index, about 40 bytes each.
     pub affinity_blocks_max: usize,
-    /// Prefill time for one token until it was observed.
+    /// Assumed prefill time per token until measured.
     pub prefill_token_us: Micros,
-    /// Decode time for one token until it was observed.
+    /// Assumed decode time per token until measured.
     pub decode_token_us: Micros,
-    /// Retries that one arrival pays for, in percent. A fault that hits a tenth of the work is retried in
-    /// full; a fault that hits everything adds a tenth of load and no more.
+    /// Retries earned per arrival, in percent. A fault that affects a tenth of the work is retried in full; a
+    /// fault that affects all of it adds at most a tenth of load.
     pub retry_percent: u64,
-    /// Retries saved up at most, so that a partner with little work can retry too.
+    /// Maximum number of saved retries, so that a partner with little work can retry too.
     pub retry_burst: u64,
-    /// Longest first back-off of a retry; doubled with each, drawn at random below it.
+    /// Upper bound of the first back-off, which is drawn at random below it; doubled with each retry.
     pub backoff_ms: Millis,
-    /// Attempts of one request at most.
+    /// Maximum number of attempts per request.
     pub attempts_max: u32,
-    /// Time for which a server is passed over after its watcher gave no answer.
-    pub silence_ms: Millis,
-    /// Life of a drain sign. The list shows the same within it, or the sign was of a short-lived state, as of
-    /// an engine that was restarted between two versions of the list.
-    pub sign_life_ms: Millis,
-    /// A decode server slower than the class allows gets one request in this time, to see whether it
-    /// recovered.
-    pub slow_trial_ms: Millis,
+    /// Time for which a server is skipped after its watcher did not answer.
+    pub unresponsive_skip_ms: Millis,
+    /// Time for which a leaving signal holds. The list shows the state within that time; if not, the state
+    /// was short-lived, such as that of an engine restarted between two versions of the list.
+    pub signal_ttl_ms: Millis,
+    /// Interval between single requests to a decode server that is too slow for the class, which detect its
+    /// recovery.
+    pub slow_probe_interval_ms: Millis,
 }
 
 impl Default for SchedulerSettings {
@@ -99,24 +102,24 @@
         Self {
             start: PrefillStart::AfterReservation,
             open_max: 8_192,
-            sample: 4,
+            sample_size: 4,
             ask_timeout_us: Micros(25_000),
             ask_rounds: 2,
-            unknown_pause_ms: Millis(100),
+            no_answer_backoff_ms: Millis(100),
             turn_hold_ms: Millis(250),
-            bold_below_ms: Millis(0),
+            speculative_slack_ms: Millis(0),
             slot_retry_ms: Millis(10),
             renew_ms: Millis(1_000),
-            gap_ms: Millis(3_000),
+            resume_slack_ms: Millis(3_000),
             margin_percent: 5,
             overhead_us: Micros(15_000),
             timeout_factor: 3,
-            unknown_factor: 5,
+            unmeasured_factor: 5,
             timeout_floor_ms: Millis(800),
-            stream_silence_ms: Millis(1_000),
-            silence_tokens: 20,
-            confirm_silence_ms: Millis(300),
-            last_call_ms: Millis(100),
+            token_timeout_min_ms: Millis(1_000),
+            token_timeout_tokens: 20,
+            confirm_timeout_ms: Millis(300),
+            eviction_lead_ms: Millis(100),
             evict_after_ms: Millis(800),
             kv_bytes_per_token: Bytes(128 << 10),
             block_tokens: 64,
@@ -127,9 +130,9 @@
             retry_burst: 20,
             backoff_ms: Millis(20),
             attempts_max: 4,
-            silence_ms: Millis(500),
-            sign_life_ms: Millis(30_000),
-            slow_trial_ms: Millis(5_000),
+            unresponsive_skip_ms: Millis(500),
+            signal_ttl_ms: Millis(30_000),
+            slow_probe_interval_ms: Millis(5_000),
         }
     }
 }
--- a/crates/core/src/sched/shift.rs
+++ b/crates/core/src/sched/shift.rs
@@ -1,7 +1,7 @@
-//! Moving engines between prefill and decode, and models between engines.
+//! Planning of role changes of engines between prefill and decode, and of model loads.
 //!
-//! Only the holder of the lease over orders runs this; the orders it returns carry the lease's fencing
-//! number and an expiry, which the caller adds.
+//! Runs only at the holder of the lease for orders. The caller adds the fencing number of the lease and an
+//! expiry to the orders returned here.
 
 use std::collections::HashMap;
 
@@ -13,30 +13,30 @@
 /// Limits of a [`ShiftPlanner`].
 #[derive(Clone, Copy, Debug)]
 pub struct ShiftSettings {
-    /// A role busier than this is short of servers, in percent. Above it queues grow faster than linearly.
+    /// Load in percent above which a role is short of servers. Above it, queues grow faster than linearly.
     pub hot_percent: u32,
-    /// A role less busy than this has servers to spare. Far below `hot_percent`: a server that moves takes
-    /// its load with it, and the gap keeps it from being moved back.
+    /// Load in percent below which a role has servers to spare. Far below `hot_percent`: a server that
+    /// changes role takes its load along, and the gap keeps it from being moved back.
     pub cold_percent: u32,
-    /// After a shift the role that gave must stay below this. Between the two, so that neither side of the
-    /// shift is itself a reason for the next.
+    /// The donating role must stay below this load in percent after a shift. Between the two other limits, so
+    /// that neither role is a reason for the next shift.
     pub after_percent: u32,
-    /// How long both must last. Longer than a burst, which queues and refusals absorb.
+    /// Time for which the imbalance must last. Longer than a burst, which queues and refusals absorb.
     pub hold_ms: Millis,
-    /// Pause of a model's pool after a shift: its effect must show in the load reports, which lag, before
-    /// the next is judged.
+    /// Pause of a model's pool after a shift: the effect must show in the load reports, which lag, before the
+    /// next decision.
     pub cooldown_ms: Millis,
-    /// Engines being drained or loading at once, over all models. One: an order that proves wrong then
-    /// costs one engine, and the weight store's rate is not divided.
-    pub at_once: usize,
-    /// Longest wait for an engine to finish what it has. Then it goes back to work and another is looked
-    /// for: one long answer must not keep an engine idle for ever.
+    /// Maximum number of engines draining or loading at once, over all models. One, so that a wrong order
+    /// costs one engine and the bandwidth of the weight store is not divided.
+    pub concurrent_max: usize,
+    /// Time limit of a drain. After it the engine returns to work and another is chosen, so that one long
+    /// answer does not keep an engine idle forever.
     pub drain_max_ms: Millis,
-    /// Servers of each role that a model keeps. Two, so that one failure does not end its service.
-    pub keep_min: usize,
-    /// Time without demand after which a model's spare copy is unloaded.
+    /// Minimum number of servers per role and model. Two, so that one failure does not end the service.
+    pub servers_min: usize,
+    /// Time without demand after which a spare copy of a model is unloaded.
     pub unload_after_ms: Millis,
-    /// Weight of a new observation of the load, in percent.
+    /// Weight of a new sample in the load average, in percent.
     pub weight_percent: u32,
 }
 
@@ -48,77 +48,77 @@
             after_percent: 70,
             hold_ms: Millis(30_000),
             cooldown_ms: Millis(120_000),
-            at_once: 1,
+            concurrent_max: 1,
             drain_max_ms: Millis(60_000),
-            keep_min: 2,
+            servers_min: 2,
             unload_after_ms: Millis(600_000),
             weight_percent: 20,
         }
     }
 }
 
-/// An engine as the planner sees it.
+/// State of an engine as seen by the planner.
 #[derive(Clone, Debug)]
 pub struct EngineView {
-    /// Which engine.
+    /// Server name.
     pub server: BackendServerId,
-    /// Its role.
+    /// Current role.
     pub role: Role,
-    /// Models that it has loaded.
+    /// Loaded models.
     pub models: Vec<ModelId>,
-    /// Requests that it holds, of the engine's own report and of its ledger the greater.
+    /// Requests in use: the larger of the engine's own report and the count of its ledger.
     pub in_use: u32,
-    /// How busy it is, in percent: of its time for prefill, of its slots for decode.
+    /// Load in percent: of its time for prefill, of its slots for decode.
     pub busy_percent: u32,
-    /// Whether it takes work.
+    /// Whether it accepts work.
     pub live: bool,
 }
 
-/// A model that the weight store holds, and whether anybody wants it.
+/// Model in the weight store, with its demand.
 #[derive(Clone, Debug)]
 pub struct ModelDemand {
-    /// Which model.
+    /// Model ID.
     pub model: ModelId,
     /// Size of its weights.
     pub bytes: Bytes,
-    /// Requests for it since the last plan, refused ones as well.
+    /// Requests for the model since the last plan, including refused ones.
     pub arrivals: u64,
 }
 
-/// What the lease's holder has to do.
+/// Order that the lease holder has to carry out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ShiftOrder {
-    /// Give the engine no new work.
+    /// Stop giving the engine new work.
     Drain {
-        /// Which engine.
+        /// Server name.
         server: BackendServerId,
     },
-    /// Give it work again.
+    /// Resume giving it work.
     Undrain {
-        /// Which engine.
+        /// Server name.
         server: BackendServerId,
     },
-    /// Order it to change role. Nothing is in use there.
+    /// Change its role. Nothing is in use at the engine.
     SetRole {
-        /// Which engine.
+        /// Server name.
         server: BackendServerId,
-        /// Its role from then on.
+        /// New role.
         role: Role,
     },
-    /// Order it to load a model.
+    /// Load a model.
     Load {
-        /// Which engine.
+        /// Server name.
         server: BackendServerId,
-        /// Which model.
+        /// Model ID.
         model: ModelId,
-        /// Time that the weight store needs for it.
+        /// Expected duration of the load from the weight store.
         expected_us: Micros,
     },
-    /// Order it to unload a model.
+    /// Unload a model.
     Unload {
-        /// Which engine.
+        /// Server name.
         server: BackendServerId,
-        /// Which model.
+        /// Model ID.
         model: ModelId,
     },
 }
@@ -132,10 +132,10 @@
 #[derive(Clone, Debug, Default)]
 struct PoolState {
     loads: [RoleLoad; 2],
-    seen: bool,
-    lopsided_since_us: Option<(Role, MonoTime)>,
-    quiet_until_us: MonoTime,
-    wanted_us: MonoTime,
+    has_observation: bool,
+    imbalanced_since_us: Option<(Role, MonoTime)>,
+    cooldown_until_us: MonoTime,
+    last_demand_us: MonoTime,
 }
 
 #[derive(Clone, Debug)]
@@ -153,13 +153,12 @@
     until_us: MonoTime,
 }
 
-/// Plans shifts with hysteresis.
+/// Plans role changes and model loads, with hysteresis.
 ///
-/// Load: the mix of long prompts and long answers changes over hours, and models come into and out of use.
-/// Harm prevented: one role saturated while the other idles; but also engines that move back and forth, each
-/// time losing their caches and their work, which is worse than leaving them where they are. So a shift
-/// needs a wide and lasting imbalance, must not create the opposite one, happens one at a time, and takes
-/// only an engine that has nothing in use.
+/// The mix of long prompts and long answers changes over hours, and models come into and go out of use, so
+/// one role can be saturated while the other is idle. Engines that change role lose their caches and their
+/// work, so frequent changes are worse than none. A shift therefore requires a large and lasting imbalance,
+/// must not create the opposite one, happens one at a time, and takes only an engine with nothing in use.
 #[derive(Debug)]
 pub struct ShiftPlanner {
     settings: ShiftSettings,
@@ -170,17 +169,17 @@
 
 const PERCENT: f64 = 100.0;
 const MICROS_PER_SECOND: u64 = 1_000_000;
-/// A load order is given up after so many times its expected time.
-const LOAD_PATIENCE: u64 = 3;
+/// Timeout of a model load as a multiple of its expected duration.
+const LOAD_TIMEOUT_FACTOR: u64 = 3;
 
 impl ShiftPlanner {
-    /// A planner that has seen nothing. A new holder of the lease starts so: it waits a full `hold_ms`
-    /// before its first order, which also covers what the holder before it may have ordered last.
+    /// Creates a planner without observations. A new lease holder starts with one: it waits a full `hold_ms`
+    /// before its first order, which also covers the last orders of its predecessor.
     pub fn new(settings: ShiftSettings) -> Self {
         Self { settings, pools: HashMap::new(), draining: Vec::new(), loading: Vec::new() }
     }
 
-    /// Looks at the engines and pushes what is to be done. To be called every second or so.
+    /// Evaluates the engines and appends the resulting orders. Called about once a second.
     pub fn plan(
         &mut self,
         now_us: MonoTime,
@@ -197,35 +196,35 @@
                 .any(|engine| engine.server == loading.server && engine.models.contains(&loading.model));
             !done && now_us < loading.until_us
         });
-        for wanted in demand {
-            self.plan_model(now_us, wanted, engines, store_rate, orders);
+        for model_demand in demand {
+            self.plan_model(now_us, model_demand, engines, store_rate, orders);
         }
     }
 
     fn observe(&mut self, now_us: MonoTime, engines: &[EngineView], demand: &[ModelDemand]) {
         let weight = f64::from(self.settings.weight_percent) / PERCENT;
-        for wanted in demand {
-            let pool = self.pools.entry(wanted.model.clone()).or_default();
-            if wanted.arrivals > 0 || !pool.seen {
-                pool.wanted_us = now_us;
+        for model_demand in demand {
+            let pool = self.pools.entry(model_demand.model.clone()).or_default();
+            if model_demand.arrivals > 0 || !pool.has_observation {
+                pool.last_demand_us = now_us;
             }
             for role in [Role::Prefill, Role::Decode] {
-                let fresh = role_load(engines, &wanted.model, role);
+                let current = role_load(engines, &model_demand.model, role);
                 let load = &mut pool.loads[role as usize];
-                load.servers = fresh.servers;
-                // A model without servers is short of them only if somebody wants it.
-                let busy_percent = match fresh.servers {
-                    0 if wanted.arrivals == 0 => 0.0,
-                    _ => fresh.busy_percent,
+                load.servers = current.servers;
+                // A model without servers is short of them only if there is demand for it.
+                let busy_percent = match current.servers {
+                    0 if model_demand.arrivals == 0 => 0.0,
+                    _ => current.busy_percent,
                 };
-                let step = if pool.seen { weight } else { 1.0 };
+                let step = if pool.has_observation { weight } else { 1.0 };
                 load.busy_percent += step * (busy_percent - load.busy_percent);
             }
-            pool.seen = true;
+            pool.has_observation = true;
         }
     }
 
-    /// Follows the engines that are being emptied.
+    /// Completes or cancels drains in progress.
     fn advance_drains(&mut self, now_us: MonoTime, engines: &[EngineView], orders: &mut Vec<ShiftOrder>) {
         let drain_max_ms = self.settings.drain_max_ms;
         let pools = &mut self.pools;
@@ -238,57 +237,57 @@
             if engine.in_use == 0 {
                 orders.push(ShiftOrder::SetRole { server: draining.server.clone(), role: draining.to });
                 if let Some(pool) = pools.get_mut(&draining.model) {
-                    pool.quiet_until_us = now_us + cooldown_ms;
-                    pool.lopsided_since_us = None;
+                    pool.cooldown_until_us = now_us + cooldown_ms;
+                    pool.imbalanced_since_us = None;
                 }
                 return false;
             }
-            let late = now_us >= draining.since_us + drain_max_ms;
-            if late {
+            let is_overdue = now_us >= draining.since_us + drain_max_ms;
+            if is_overdue {
                 orders.push(ShiftOrder::Undrain { server: draining.server.clone() });
             }
-            !late
+            !is_overdue
         });
     }
 
     fn plan_model(
         &mut self,
         now_us: MonoTime,
-        wanted: &ModelDemand,
+        model_demand: &ModelDemand,
         engines: &[EngineView],
         store_rate: BytesPerSecond,
         orders: &mut Vec<ShiftOrder>,
     ) {
-        let under_way = self.draining.len() + self.loading.len();
-        let busy = LoadBudget { limit: self.settings.at_once }.admit(under_way).is_err();
-        let Some(pool) = self.pools.get_mut(&wanted.model) else {
+        let in_progress = self.draining.len() + self.loading.len();
+        let at_limit = LoadBudget { limit: self.settings.concurrent_max }.admit(in_progress).is_err();
+        let Some(pool) = self.pools.get_mut(&model_demand.model) else {
             return;
         };
         let hot = hot_role(&self.settings, pool);
         let Some(role) = hot else {
-            pool.lopsided_since_us = None;
-            self.unload_unwanted(now_us, wanted, engines, orders);
+            pool.imbalanced_since_us = None;
+            self.unload_unused(now_us, model_demand, engines, orders);
             return;
         };
-        let since_us = match pool.lopsided_since_us {
+        let since_us = match pool.imbalanced_since_us {
             Some((known, since_us)) if known == role => since_us,
             _ => now_us,
         };
-        pool.lopsided_since_us = Some((role, since_us));
-        let lasting = now_us >= since_us + self.settings.hold_ms && now_us >= pool.quiet_until_us;
-        if busy || !lasting {
+        pool.imbalanced_since_us = Some((role, since_us));
+        let is_persistent = now_us >= since_us + self.settings.hold_ms && now_us >= pool.cooldown_until_us;
+        if at_limit || !is_persistent {
             return;
         }
-        if may_give(&self.settings, pool.loads[other(role) as usize]) {
-            self.shift(now_us, &wanted.model, role, engines, orders);
+        if can_donate(&self.settings, pool.loads[opposite(role) as usize]) {
+            self.start_shift(now_us, &model_demand.model, role, engines, orders);
         } else {
-            self.load(now_us, wanted, role, engines, store_rate, orders);
+            self.start_load(now_us, model_demand, role, engines, store_rate, orders);
         }
     }
 
-    /// Takes the least used engine of the other role. It is drained first: a change of role drops what the
-    /// engine holds, and each answer cut off so would be prefilled again.
-    fn shift(
+    /// Drains the least used engine of the other role. A change of role drops what the engine holds, and each
+    /// answer cut off that way would be prefilled again.
+    fn start_shift(
         &mut self,
         now_us: MonoTime,
         model: &ModelId,
@@ -296,10 +295,10 @@
         engines: &[EngineView],
         orders: &mut Vec<ShiftOrder>,
     ) {
-        let givers = engines
+        let donors = engines
             .iter()
-            .filter(|engine| engine.live && engine.role == other(to) && engine.models.contains(model));
-        let Some(engine) = givers.min_by_key(|engine| (engine.in_use, engine.busy_percent)) else {
+            .filter(|engine| engine.live && engine.role == opposite(to) && engine.models.contains(model));
+        let Some(engine) = donors.min_by_key(|engine| (engine.in_use, engine.busy_percent)) else {
             return;
         };
         let server = engine.server.clone();
@@ -307,71 +306,75 @@
         self.draining.push(Draining { server, to, model: model.clone(), since_us: now_us });
     }
 
-    /// Loads the model on an idle engine of the role that serves other models. Loads go one at a time: the
-    /// weight store's rate is shared, and two loads would both end late.
-    fn load(
+    /// Loads the model on an idle engine of the role that serves other models. Loads run one at a time: they
+    /// share the bandwidth of the weight store, and two would both finish late.
+    fn start_load(
         &mut self,
         now_us: MonoTime,
-        wanted: &ModelDemand,
+        model_demand: &ModelDemand,
         role: Role,
         engines: &[EngineView],
         store_rate: BytesPerSecond,
         orders: &mut Vec<ShiftOrder>,
     ) {
         let cold = self.settings.cold_percent;
-        let fit = |engine: &&EngineView| {
+        let is_suitable = |engine: &&EngineView| {
             engine.live
                 && engine.role == role
                 && engine.busy_percent < cold
-                && !engine.models.contains(&wanted.model)
+                && !engine.models.contains(&model_demand.model)
         };
-        let Some(engine) = engines.iter().filter(fit).min_by_key(|engine| engine.busy_percent) else {
+        let Some(engine) = engines.iter().filter(is_suitable).min_by_key(|engine| engine.busy_percent) else {
             return;
         };
-        let expected_us = Micros(wanted.bytes.0.saturating_mul(MICROS_PER_SECOND) / store_rate.0.max(1));
-        let until_us = now_us + Micros(expected_us.0.saturating_mul(LOAD_PATIENCE));
-        let (server, model) = (engine.server.clone(), wanted.model.clone());
+        let expected_us =
+            Micros(model_demand.bytes.0.saturating_mul(MICROS_PER_SECOND) / store_rate.0.max(1));
+        let until_us = now_us + Micros(expected_us.0.saturating_mul(LOAD_TIMEOUT_FACTOR));
+        let (server, model) = (engine.server.clone(), model_demand.model.clone());
         orders.push(ShiftOrder::Load { server: server.clone(), model: model.clone(), expected_us });
         self.loading.push(Loading { server, model, until_us });
-        if let Some(pool) = self.pools.get_mut(&wanted.model) {
-            pool.quiet_until_us = now_us + self.settings.cooldown_ms;
+        if let Some(pool) = self.pools.get_mut(&model_demand.model) {
+            pool.cooldown_until_us = now_us + self.settings.cooldown_ms;
         }
     }
 
-    /// Unloads a copy of a model that nobody asked for in a long time, if enough copies stay and the engine
+    /// Unloads a copy of a model without demand for a long time, if enough copies remain and the engine
     /// serves another model.
-    fn unload_unwanted(
+    fn unload_unused(
         &mut self,
         now_us: MonoTime,
-        wanted: &ModelDemand,
+        model_demand: &ModelDemand,
         engines: &[EngineView],
         orders: &mut Vec<ShiftOrder>,
     ) {
-        let Some(pool) = self.pools.get_mut(&wanted.model) else {
+        let Some(pool) = self.pools.get_mut(&model_demand.model) else {
             return;
         };
-        let unwanted = now_us >= pool.wanted_us + self.settings.unload_after_ms;
-        if !unwanted || now_us < pool.quiet_until_us {
+        let unused = now_us >= pool.last_demand_us + self.settings.unload_after_ms;
+        if !unused || now_us < pool.cooldown_until_us {
             return;
         }
         for role in [Role::Prefill, Role::Decode] {
-            let holds = |engine: &&EngineView| engine.role == role && engine.models.contains(&wanted.model);
-            if engines.iter().filter(holds).count() <= self.settings.keep_min {
+            let holds =
+                |engine: &&EngineView| engine.role == role && engine.models.contains(&model_demand.model);
+            if engines.iter().filter(holds).count() <= self.settings.servers_min {
                 continue;
             }
             let spare =
                 engines.iter().filter(holds).find(|engine| engine.models.len() > 1 && engine.in_use == 0);
             if let Some(engine) = spare {
-                orders
-                    .push(ShiftOrder::Unload { server: engine.server.clone(), model: wanted.model.clone() });
-                pool.quiet_until_us = now_us + self.settings.cooldown_ms;
+                orders.push(ShiftOrder::Unload {
+                    server: engine.server.clone(),
+                    model: model_demand.model.clone(),
+                });
+                pool.cooldown_until_us = now_us + self.settings.cooldown_ms;
                 return;
             }
         }
     }
 }
 
-fn other(role: Role) -> Role {
+fn opposite(role: Role) -> Role {
     match role {
         Role::Prefill => Role::Decode,
         Role::Decode => Role::Prefill,
@@ -381,9 +384,10 @@
 fn role_load(engines: &[EngineView], model: &ModelId, role: Role) -> RoleLoad {
     let of_role =
         engines.iter().filter(|engine| engine.live && engine.role == role && engine.models.contains(model));
-    let (servers, busy) = of_role
-        .fold((0_usize, 0.0), |(servers, busy), engine| (servers + 1, busy + f64::from(engine.busy_percent)));
-    let busy_percent = if servers == 0 { PERCENT } else { busy / servers as f64 };
+    let (servers, busy_sum) = of_role.fold((0_usize, 0.0), |(servers, busy_sum), engine| {
+        (servers + 1, busy_sum + f64::from(engine.busy_percent))
+    });
+    let busy_percent = if servers == 0 { PERCENT } else { busy_sum / servers as f64 };
     RoleLoad { servers, busy_percent }
 }
 
@@ -392,11 +396,12 @@
     [Role::Prefill, Role::Decode].into_iter().find(hot)
 }
 
-/// Whether a role can give a server: it is cold, keeps enough, and does not become warm by giving.
-fn may_give(settings: &ShiftSettings, load: RoleLoad) -> bool {
-    let left = load.servers.saturating_sub(1);
-    let after = load.busy_percent * load.servers as f64 / left.max(1) as f64;
-    left >= settings.keep_min
+/// Whether a role can donate a server: its load is low, it keeps enough servers, and donating does not raise
+/// its load too far.
+fn can_donate(settings: &ShiftSettings, load: RoleLoad) -> bool {
+    let remaining = load.servers.saturating_sub(1);
+    let load_after = load.busy_percent * load.servers as f64 / remaining.max(1) as f64;
+    remaining >= settings.servers_min
         && load.busy_percent < f64::from(settings.cold_percent)
-        && after < f64::from(settings.after_percent)
+        && load_after < f64::from(settings.after_percent)
 }
--- a/crates/core/tests/sched/baseline.rs
+++ b/crates/core/tests/sched/baseline.rs
@@ -4,7 +4,7 @@
 
 use hibiscusvale_core::ids::RequestId;
 use hibiscusvale_core::sched::{
-    Action, Arrival, Attempt, Event, FailureCause, RedoCause, RefusalReason, WorkStage,
+    Action, Arrival, Attempt, Event, FailureCause, RefusalReason, WasteCause, WorkStage,
 };
 use hibiscusvale_core::units::{BytesPerSecond, Millis, MonoTime, Tokens};
 
@@ -123,9 +123,15 @@
                 open.decoding = true;
                 open.give_up_us = None;
                 let server = server_name(self.prefills, open.decode);
-                let (from_index, silence_ms) = (Tokens(0), Millis(60_000));
-                let decode =
-                    Action::Decode { request_id, attempt, server, from_index, resume: false, silence_ms };
+                let (from_index, token_timeout_ms) = (Tokens(0), Millis(60_000));
+                let decode = Action::Decode {
+                    request_id,
+                    attempt,
+                    server,
+                    from_index,
+                    resume: false,
+                    token_timeout_ms,
+                };
                 wishes.push(Wish::Do(decode));
             }
             Event::Failed { request_id, stage, cause, .. } => {
@@ -261,9 +267,15 @@
             open.attempt = Attempt(open.attempt.0 + 1);
             open.prefill = server;
             let (attempt, from_index, priority) = (open.attempt, Tokens(0), 1);
-            let redo = (attempt.0 > 1).then_some(RedoCause::Evicted);
-            let start =
-                Action::StartPrefill { request_id, attempt, server: name, from_index, priority, redo };
+            let restart_cause = (attempt.0 > 1).then_some(WasteCause::Evicted);
+            let start = Action::StartPrefill {
+                request_id,
+                attempt,
+                server: name,
+                from_index,
+                priority,
+                restart_cause,
+            };
             wishes.push(Wish::Do(start));
             let give_up_us = now_us.0 + seen.wait_us + (work_us * 3).max(400_000);
             open.give_up_us = Some(give_up_us);
