--- a/crates/core/tests/sched/plain.rs
+++ b/crates/core/tests/sched/plain.rs
@@ -89,8 +89,8 @@
         for (sequence, at_us) in (from_us..until_us).step_by(gap_us as usize).enumerate() {
             let request_id = RequestId { incarnation: Incarnation(life.into()), sequence: sequence as u64 };
             self.partner_of.insert(request_id, (partner.to_owned(), at_us));
-            let (partner, patience_ms) = (partner.parse().unwrap(), Millis(100));
-            let arrival = PlainArrival { request_id, partner, repeatable, attempts_max: 3, patience_ms };
+            let (partner, max_wait_ms) = (partner.parse().unwrap(), Millis(100));
+            let arrival = PlainArrival { request_id, partner, repeatable, attempts_max: 3, max_wait_ms };
             self.at(at_us, PlainEvent::Arrive(arrival));
         }
     }
@@ -229,7 +229,7 @@
             partner: "nadifa".parse().unwrap(),
             repeatable: sequence % 3 == 0,
             attempts_max: 1,
-            patience_ms: Millis(800),
+            max_wait_ms: Millis(800),
         };
         fake.at(at_us, PlainEvent::Arrive(arrival));
     }
@@ -262,7 +262,7 @@
             partner: "nadifa".parse().unwrap(),
             repeatable: true,
             attempts_max: 2,
-            patience_ms: Millis(500),
+            max_wait_ms: Millis(500),
         };
         actions.clear();
         scheduler.handle(now_us, PlainEvent::Arrive(arrival), &mut actions);
--- a/crates/core/tests/sched/world.rs
+++ b/crates/core/tests/sched/world.rs
@@ -5,8 +5,8 @@
 
 use hibiscusvale_core::ids::{BackendServerId, HostId, Incarnation, RequestId};
 use hibiscusvale_core::sched::{
-    Action, Attempt, Event, FailureCause, RedoCause, Scheduler, SchedulerSettings, ServerRecord, ServerState,
-    WorkStage,
+    Action, Attempt, Event, FailureCause, Scheduler, SchedulerSettings, ServerRecord, ServerState,
+    WasteCause, WorkStage,
 };
 use hibiscusvale_core::slots::{
     HeldReport, LedgerAction, LedgerSettings, QueueSettings, Role, SlotMessage, Watcher,
@@ -497,13 +497,13 @@
                 let (source, server) = (self.number(&source), self.number(&server));
                 self.import(index, incarnation, request_id, attempt, (source, server), rate_bytes_per_s.0);
             }
-            Action::Decode { request_id, attempt, server, silence_ms, .. } => {
+            Action::Decode { request_id, attempt, server, token_timeout_ms, .. } => {
                 let server = self.number(&server);
                 let since_us = self.now_us;
                 if let Some(track) = self.tracks.get_mut(&request_id) {
                     track.last_us = since_us;
                 }
-                let limit_us = silence_ms.0 * 1_000;
+                let limit_us = token_timeout_ms.0 * 1_000;
                 self.soon(limit_us, Ev::Silence(index, request_id, attempt, since_us, limit_us));
                 if let Some(seat) = self.decode_at(server).seats.get_mut(&request_id) {
                     seat.decoding = true;
@@ -734,7 +734,7 @@
             let counters = daemon.scheduler.counters();
             self.outcome.wasted_tokens += counters.wasted_total().0 + daemon.baseline.wasted;
             self.outcome.retries += counters.retries;
-            for (index, cause) in RedoCause::ALL.into_iter().enumerate() {
+            for (index, cause) in WasteCause::ALL.into_iter().enumerate() {
                 let wasted = counters.wasted(cause).0;
                 match self.outcome.wasted_by.get_mut(index) {
                     Some((_, tokens)) => *tokens += wasted,
--- a/crates/router/src/dispatch/language.rs
+++ b/crates/router/src/dispatch/language.rs
@@ -203,8 +203,8 @@
     /// Carries out one step.
     async fn step(&mut self, action: Action) -> Next {
         match action {
-            Action::StartPrefill { attempt, server, priority, redo, .. } => {
-                self.observed.prefill_starts(attempt.0, &server, redo);
+            Action::StartPrefill { attempt, server, priority, restart_cause, .. } => {
+                self.observed.prefill_starts(attempt.0, &server, restart_cause);
                 Next::Done(self.prefill(attempt, &server, priority).await)
             }
             Action::Import { attempt, source, server, priority, rate_bytes_per_s, .. } => {
@@ -212,9 +212,9 @@
                 let route = ImportRoute { source, server, priority, rate_bytes_per_s };
                 Next::Done(self.import(attempt, route).await)
             }
-            Action::Decode { attempt, server, resume, silence_ms, .. } => {
+            Action::Decode { attempt, server, resume, token_timeout_ms, .. } => {
                 self.observed.decode_starts(&server, resume);
-                Next::Done(self.decode(attempt, &server, resume, silence_ms).await)
+                Next::Done(self.decode(attempt, &server, resume, token_timeout_ms).await)
             }
             Action::Refuse { reason, retry_after_ms, .. } => {
                 self.refuse(Refusal::not_run(reason.into()).retry_after(retry_after_ms)).await
@@ -320,9 +320,9 @@
         attempt: Attempt,
         server: &BackendServerId,
         resume: bool,
-        silence_ms: Millis,
+        token_timeout_ms: Millis,
     ) -> Event {
-        match self.stream(attempt, server, resume, silence_ms).await {
+        match self.stream(attempt, server, resume, token_timeout_ms).await {
             Ok(()) => {
                 Event::Finished { request_id: self.request.request_id, tokens: Tokens(self.sent_tokens) }
             }
@@ -335,7 +335,7 @@
         attempt: Attempt,
         server: &BackendServerId,
         resume: bool,
-        silence_ms: Millis,
+        token_timeout_ms: Millis,
     ) -> Result<(), EngineFailure> {
         let to = self.dispatcher.directory.address_of(server).ok_or(CallFailure::NotSent)?;
         let call = DecodeCall {
@@ -344,7 +344,7 @@
             from_index: self.sent_tokens,
         };
         let trust = if resume { Trust::Fresh } else { Trust::Pooled };
-        let silence = Duration::from(silence_ms);
+        let silence = Duration::from(token_timeout_ms);
         let opened = tokio::time::timeout(silence, self.dispatcher.engines.decode(to, call, trust)).await;
         let mut stream = opened.map_err(|_elapsed| CallFailure::Timeout)??;
         Ok(self.forward(&mut stream, silence).await?)
--- a/crates/router/src/dispatch/observe.rs
+++ b/crates/router/src/dispatch/observe.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use hibiscusvale_core::ids::{BackendServerId, ClassName, PartnerId, RequestId};
-use hibiscusvale_core::sched::{FailureCause, RedoCause, RefusalReason as Refused};
+use hibiscusvale_core::sched::{FailureCause, RefusalReason as Refused, WasteCause};
 use hibiscusvale_core::units::{Micros, Millis, MonoTime, Tokens};
 
 use crate::callers::{LanguageRequest, Outcome, PlainRequest, Refusal, RefusalReason};
@@ -25,7 +25,7 @@
     }
 }
 
-impl Label for RedoCause {
+impl Label for WasteCause {
     fn label(self) -> &'static str {
         self.as_str()
     }
@@ -183,9 +183,14 @@
 
 impl Observed {
     /// A try begins; `redo` says why there was one before.
-    pub fn prefill_starts(&mut self, attempt: u32, server: &BackendServerId, redo: Option<RedoCause>) {
+    pub fn prefill_starts(
+        &mut self,
+        attempt: u32,
+        server: &BackendServerId,
+        restart_cause: Option<WasteCause>,
+    ) {
         self.attempts = attempt;
-        if let Some(cause) = redo {
+        if let Some(cause) = restart_cause {
             self.metrics.retried(cause);
             self.log.request_retried(self.request_id, cause);
             self.waste(cause);
@@ -275,7 +280,7 @@
 
     /// The caller left before the end.
     pub fn left(&mut self, now_us: MonoTime) {
-        self.waste(RedoCause::CallerLeft);
+        self.waste(WasteCause::CallerLeft);
         self.metrics.finished(CallerLeft);
         self.log.request_finished(self.line(now_us, CallerLeft));
         self.remember(now_us, CallerLeft.label(), None);
@@ -295,7 +300,7 @@
         });
     }
 
-    fn waste(&mut self, cause: RedoCause) {
+    fn waste(&mut self, cause: WasteCause) {
         let tokens = std::mem::take(&mut self.prefilled_tokens);
         if tokens > Tokens::ZERO {
             self.metrics.wasted_prefill(cause, tokens);
--- a/crates/router/src/dispatch/plain.rs
+++ b/crates/router/src/dispatch/plain.rs
@@ -143,7 +143,7 @@
         partner: request.partner.clone(),
         repeatable: !request.runs_at_most_once(),
         attempts_max: ATTEMPTS_MAX,
-        patience_ms: Millis(patience),
+        max_wait_ms: Millis(patience),
     }
 }
 
@@ -152,7 +152,7 @@
         PlainRefusal::WouldWaitTooLong => RefusalReason::TargetUnreachable,
         PlainRefusal::QueueFull => RefusalReason::QueueFull,
         PlainRefusal::NoInstance => RefusalReason::NoBackendServer,
-        PlainRefusal::RetriesSpent => RefusalReason::RetriesExhausted,
+        PlainRefusal::RetriesExhausted => RefusalReason::RetriesExhausted,
     }
 }
 
--- a/crates/router/src/dispatch/plain_hub.rs
+++ b/crates/router/src/dispatch/plain_hub.rs
@@ -6,7 +6,7 @@
 use hibiscusvale_core::ids::{BackendServerId, HostId, RequestId};
 use hibiscusvale_core::sched::{
     LimitReached, PlainAction, PlainArrival, PlainCounters, PlainEvent, PlainInstance, PlainScheduler,
-    PlainSettings, Sign,
+    PlainSettings, StateSignal,
 };
 use hibiscusvale_core::units::{Credit, Micros};
 use parking_lot::Mutex;
@@ -117,8 +117,8 @@
     }
 
     /// Tells the schedulers of a sign of a server.
-    pub fn sign(&self, server: &BackendServerId, sign: Sign) {
-        self.feed_all(&PlainEvent::Sign { server: server.clone(), sign });
+    pub fn sign(&self, server: &BackendServerId, signal: StateSignal) {
+        self.feed_all(&PlainEvent::StateSignal { server: server.clone(), signal });
     }
 
     /// Tells the schedulers of a load that an instance told just now.
--- a/crates/router/src/figures.rs
+++ b/crates/router/src/figures.rs
@@ -97,7 +97,7 @@
     count(metrics, Happened::AskTimedOut, before.ask_timeouts, after.ask_timeouts);
     count(metrics, Happened::TurnReturned, before.turns_returned, after.turns_returned);
     count(metrics, Happened::RetryDenied, before.retries_denied, after.retries_denied);
-    count(metrics, Happened::SlotUnconfirmed, before.unconfirmed, after.unconfirmed);
+    count(metrics, Happened::SlotUnconfirmed, before.unconfirmed_transfers, after.unconfirmed_transfers);
 }
 
 fn count(metrics: &Metrics, what: Happened, before: u64, after: u64) {
--- a/crates/router/src/relay/budget.rs
+++ b/crates/router/src/relay/budget.rs
@@ -24,7 +24,7 @@
 /// than minutes, and partitions and restarts last for seconds; with a back-off of half a minute a server
 /// would stay unused for most of the time after its recovery.
 const INSTANCE_SETTINGS: InstanceSettings =
-    InstanceSettings { aside_ms: Millis(500), aside_max_ms: Millis(2_000), ..InstanceSettings::DEFAULT };
+    InstanceSettings { ejection_ms: Millis(500), ejection_max_ms: Millis(2_000), ..InstanceSettings::DEFAULT };
 
 /// Scheduler settings of plain services.
 pub fn plain(bounds: &BoundSettings, daemons: u64) -> PlainSettings {
--- a/crates/router/src/relay/plain.rs
+++ b/crates/router/src/relay/plain.rs
@@ -6,7 +6,7 @@
 
 use hibiscusvale_core::ids::{BackendServerId, PartnerId};
 use hibiscusvale_core::outcome::Repeatability;
-use hibiscusvale_core::sched::{FailureCause, PlainAction, PlainArrival, PlainEvent, Sign};
+use hibiscusvale_core::sched::{FailureCause, PlainAction, PlainArrival, PlainEvent, StateSignal};
 use hibiscusvale_core::units::Millis;
 use http::Response;
 
@@ -96,7 +96,7 @@
         partner: shared_partner(),
         repeatable: is_repeatable(incoming),
         attempts_max: incoming.route.attempts_max,
-        patience_ms: Millis(incoming.left_ms().0 / QUEUE_WAIT_DIVISOR),
+        max_wait_ms: Millis(incoming.left_ms().0 / QUEUE_WAIT_DIVISOR),
     }
 }
 
@@ -143,7 +143,7 @@
         Err(cause) => {
             crashes::check_for_crash(incoming, &attempt, cause).await;
             if cause == FailureCause::Leaving {
-                state.plain_hub.sign(server, Sign::Leaving);
+                state.plain_hub.sign(server, StateSignal::Leaving);
             }
             return Err(cause);
         }
--- a/crates/router/src/relay/refusal.rs
+++ b/crates/router/src/relay/refusal.rs
@@ -106,7 +106,7 @@
         match refusal {
             PlainRefusal::WouldWaitTooLong | PlainRefusal::QueueFull => Self::WouldWaitTooLong,
             PlainRefusal::NoInstance => Self::NoServer,
-            PlainRefusal::RetriesSpent => Self::ServersFull,
+            PlainRefusal::RetriesExhausted => Self::ServersFull,
         }
     }
 }
--- a/crates/router/src/signs.rs
+++ b/crates/router/src/signs.rs
@@ -5,7 +5,7 @@
 
 use arc_swap::ArcSwap;
 use hibiscusvale_core::ids::BackendServerId;
-use hibiscusvale_core::sched::{Event, Sign};
+use hibiscusvale_core::sched::{Event, StateSignal};
 use hibiscusvale_core::spread::{ServerSign, SpreadView};
 
 use crate::clock;
@@ -52,14 +52,14 @@
     server: &BackendServerId,
     sign: ServerSign,
 ) {
-    let sign = match sign {
+    let signal = match sign {
         ServerSign::Leaving => {
             directory.note_leaving(clock::now(), server);
-            Sign::Leaving
+            StateSignal::Leaving
         }
         ServerSign::Taking => {
             directory.note_taking(server);
-            Sign::Live
+            StateSignal::Live
         }
         // No room for the moment is the ledger's business.
         ServerSign::Refusing => return,
@@ -68,7 +68,7 @@
         let _ = inbox.try_send(WatcherCommand::Sign(server.clone()));
     }
     if let Some(hubs) = hubs.get() {
-        hubs.language.feed(Event::Sign { server: server.clone(), sign });
-        hubs.plain.sign(server, sign);
+        hubs.language.feed(Event::StateSignal { server: server.clone(), signal });
+        hubs.plain.sign(server, signal);
     }
 }
