--- a/crates/core/benches/outcomes.rs
+++ b/crates/core/benches/outcomes.rs
@@ -14,13 +14,13 @@
 mod outcome;
 #[path = "../tests/sched/scenarios.rs"]
 mod scenarios;
-#[path = "../tests/sched/world.rs"]
-mod world;
+#[path = "../tests/sched/simulation.rs"]
+mod simulation;
 
 use hibiscusvale_core::sched::PrefillStart;
 use hibiscusvale_core::slots::QueueOrder;
 use load::{Placement, Scenario};
-use world::World;
+use simulation::Simulation;
 
 type Way = (&'static str, fn(Scenario) -> Scenario);
 
@@ -51,7 +51,7 @@
     for (name, scenario) in scenarios::all() {
         for (way, apply) in WAYS {
             let seconds = scenario.seconds;
-            let outcome = World::run(apply(scenario.clone()));
+            let outcome = Simulation::run(apply(scenario.clone()));
             let arrivals = outcome.arrivals().max(1) as f64;
             print!(
                 "{name:<22}{way:<9}{:>9.1}{:>9.2}{:>9.1}{:>9.2}{:>8}{:>8}{:>8}{:>7}{:>8.1}{:>6}",
--- a/crates/core/src/sched/instance.rs
+++ b/crates/core/src/sched/instance.rs
@@ -26,8 +26,9 @@
     /// Consecutive slow answers before an instance counts as slow. A single one may be a long call or a
     /// pause.
     pub slow_answers: u32,
-    /// Consecutive failures to get an answer before an instance counts as unresponsive. A single one may be a lost packet.
-    pub consecutive_failures_max: u32,
+    /// Consecutive failures to get an answer before an instance counts as unresponsive. A single one may be a
+    /// lost packet.
+    pub failure_streak_max: u32,
     /// First ejection time; doubled with each failed probe.
     pub ejection_ms: Millis,
     /// Maximum ejection time.
@@ -48,7 +49,7 @@
         initial_latency_us: Micros(20_000),
         slow_factor: 4,
         slow_answers: 5,
-        consecutive_failures_max: 2,
+        failure_streak_max: 2,
         ejection_ms: Millis(1_000),
         ejection_max_ms: Millis(30_000),
         timeout_factor: 20,
@@ -85,7 +86,7 @@
     other_in_flight: Option<(MonoTime, u32)>,
     latency_us: Option<f64>,
     slow_answers: u32,
-    consecutive_failures: u32,
+    failure_streak: u32,
     health: Health,
     ejection_ms: Millis,
     /// Time until which the published limit is used up, and the limit.
@@ -121,7 +122,7 @@
             other_in_flight: None,
             latency_us: None,
             slow_answers: 0,
-            consecutive_failures: 0,
+            failure_streak: 0,
             health: Health::Healthy,
             ejection_ms: settings.ejection_ms,
             limited: None,
@@ -266,7 +267,7 @@
 
     pub(crate) fn finish(&mut self, latency_us: Micros) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.consecutive_failures = 0;
+        self.failure_streak = 0;
         let sample = latency_us.0 as f64;
         let was_probe = self.end_probe();
         // A probe restarts the average: the old one is the reason for the ejection.
@@ -303,13 +304,11 @@
         let was_probe = self.end_probe();
         match cause {
             FailureCause::Leaving => self.leaving_until_us = now_us + self.settings.signal_ttl_ms,
-            FailureCause::Timeout | FailureCause::Broken | FailureCause::NotSent => {
-                self.consecutive_failures += 1
-            }
+            FailureCause::Timeout | FailureCause::Broken | FailureCause::NotSent => self.failure_streak += 1,
             FailureCause::NoRoom | FailureCause::Limited | FailureCause::Gone | FailureCause::Refused => {}
         }
-        let too_many_failures = self.consecutive_failures >= self.settings.consecutive_failures_max;
-        let ejected = was_probe || (too_many_failures && may_eject && !self.is_ejected());
+        let streak_too_long = self.failure_streak >= self.settings.failure_streak_max;
+        let ejected = was_probe || (streak_too_long && may_eject && !self.is_ejected());
         if ejected {
             self.eject(now_us, true);
         }
--- a/crates/core/src/sched/plain.rs
+++ b/crates/core/src/sched/plain.rs
@@ -419,9 +419,9 @@
     /// Ejects an instance that is far slower than the others.
     ///
     /// An instance that is ten times slower but passes its health check delays each of its callers by that
-    /// factor; it is ejected after [`InstanceSettings::slow_answers`] slow answers, five by default. At most
-    /// half of the instances are ejected as slow: if most are slow the load is the cause, and fewer instances
-    /// would make it worse.
+    /// factor; it is ejected after [`InstanceSettings::slow_answers`] slow answers, five by default. No
+    /// instance is ejected if more than half of them would then be: if most are slow the load is the cause,
+    /// and fewer instances would make it worse.
     fn check_instance_latency(&mut self, now_us: MonoTime, index: usize) {
         let median_us = self.median_latency_us();
         if !self.may_eject(now_us) {
--- a/crates/core/src/sched/scheduler.rs
+++ b/crates/core/src/sched/scheduler.rs
@@ -191,9 +191,9 @@
     }
 
     pub(super) fn record_answer_length(&mut self, partner: usize, class: &ClassName, tokens: Tokens) {
-        let seen = tokens.0 as f64;
-        let average = self.partners[partner].answer_tokens.entry(class.clone()).or_insert(seen);
-        *average += ANSWER_WEIGHT * (seen - *average);
+        let observed = tokens.0 as f64;
+        let average = self.partners[partner].answer_tokens.entry(class.clone()).or_insert(observed);
+        *average += ANSWER_WEIGHT * (observed - *average);
     }
 
     pub(super) fn kv_estimate(&self, tokens: Tokens) -> Bytes {
--- a/crates/core/tests/sched/affinity.rs
+++ b/crates/core/tests/sched/affinity.rs
@@ -1,4 +1,4 @@
-//! Prefix affinity and the retry budget.
+//! Tests of the prefix affinity index and the retry budget.
 
 use hibiscusvale_core::sched::{AffinityIndex, CacheEvent, CacheEventKind, RetryBudget};
 
@@ -6,7 +6,7 @@
     CacheEvent { seq, kind: CacheEventKind::Stored, block }
 }
 
-// The longest stored prefix counts, and a block that was evicted no longer does.
+// The longest stored prefix is found, and an evicted block no longer counts.
 #[test]
 fn finds_the_longest_prefix() {
     let mut index = AffinityIndex::new(100);
@@ -16,10 +16,10 @@
     assert_eq!(index.longest_prefix(&[10, 11, 12, 13]).0, 2);
 }
 
-// Events were lost, among them evictions. Requests would be sent to a cache that is gone, so what was known
-// of that server is dropped, and only of that one.
+// Guards against stale entries after lost events, among them evictions: requests would be sent to blocks no
+// longer cached. Only the entries of the affected server are invalidated.
 #[test]
-fn wide_gap_drops_what_was_known() {
+fn wide_gap_invalidates_the_entries_of_one_server() {
     let mut index = AffinityIndex::new(100);
     index.apply(1, stored(1, 10));
     index.apply(2, stored(1, 20));
@@ -29,21 +29,21 @@
     assert_eq!(index.longest_prefix(&[30]).0, 1);
 }
 
-// The index of a daemon stays within its bound whatever the engines store.
+// The index keeps its bound however many blocks the engines store.
 #[test]
-fn oldest_blocks_go_first() {
+fn oldest_blocks_are_evicted_first() {
     let mut index = AffinityIndex::new(2);
     (0..3).for_each(|block| index.apply(1, stored(block, block)));
     assert_eq!(index.longest_prefix(&[0]).0, 0);
     assert_eq!(index.longest_prefix(&[2]).0, 1);
 }
 
-// Everything fails at once. Retries end when the budget is spent, and come back with new arrivals only.
+// When every request fails, retries stop once the budget is spent and resume only with new arrivals.
 #[test]
-fn retries_are_paid_for_by_arrivals() {
+fn arrivals_fund_retries() {
     let mut budget = RetryBudget::new(10, 3);
-    let spent = std::iter::from_fn(|| budget.withdraw().then_some(())).count();
-    assert_eq!(spent, 3);
+    let withdrawn = std::iter::from_fn(|| budget.withdraw().then_some(())).count();
+    assert_eq!(withdrawn, 3);
     (0..9).for_each(|_| budget.deposit());
     assert!(!budget.withdraw());
     budget.deposit();
--- a/crates/core/tests/sched/cost.rs
+++ b/crates/core/tests/sched/cost.rs
@@ -1,4 +1,4 @@
-//! Decisions in a loop, for counting what one costs.
+//! Decisions in a loop, for measuring the cost of each.
 
 use hibiscusvale_core::ids::{HostId, Incarnation, PartnerId, RequestId};
 use hibiscusvale_core::sched::{
@@ -11,15 +11,15 @@
 
 const LINK: BytesPerSecond = BytesPerSecond(2_500_000_000);
 
-/// A daemon's scheduler before so many replicas, half of them prefill servers.
-pub struct Placing {
+/// Scheduler of one daemon with the given number of replicas, half of them prefill servers.
+pub struct PlacementBench {
     scheduler: Scheduler,
     partners: Vec<PartnerId>,
     next: u64,
     actions: Vec<Action>,
 }
 
-impl Placing {
+impl PlacementBench {
     pub fn new(replicas: u32, partners: usize) -> Self {
         let mut scheduler = Scheduler::new(SchedulerSettings::default(), 11);
         let record = |number: u32| ServerRecord {
@@ -48,8 +48,8 @@
         Self { scheduler, partners, next: 0, actions }
     }
 
-    /// One request from its arrival over its turn and its slot to the start of its prefill; then its caller
-    /// leaves.
+    /// Runs one request from its arrival through turn and slot to the start of its prefill; then its caller
+    /// disconnects.
     pub fn step(&mut self) {
         self.next += 1;
         let now_us = MonoTime(self.next * 100);
@@ -65,14 +65,14 @@
             first_token_target_ms: Millis(2_000),
             per_token_target_ms: Millis(60),
         };
-        self.tell(now_us, Event::Arrive(arrival));
+        self.feed(now_us, Event::Arrive(arrival));
         self.grant_first(now_us);
         self.grant_first(now_us);
         assert!(self.actions.iter().any(|action| matches!(action, Action::StartPrefill { .. })));
-        self.tell(now_us, Event::CallerLeft { request_id });
+        self.feed(now_us, Event::CallerLeft { request_id });
     }
 
-    fn tell(&mut self, now_us: MonoTime, event: Event) {
+    fn feed(&mut self, now_us: MonoTime, event: Event) {
         self.actions.clear();
         self.scheduler.handle(now_us, event, &mut self.actions);
     }
@@ -85,45 +85,45 @@
         let Ask { request_id, ask, server, .. } = ask.unwrap();
         let load = ServerLoad { free: 5, open: true, ..ServerLoad::default() };
         let grant = SlotMessage::Grant { server, request_id, ask, load, ttl_ms: Millis(3_000) };
-        self.tell(now_us, Event::Slot(grant));
+        self.feed(now_us, Event::Slot(grant));
     }
 }
 
-/// The ledger of a prefill server at which each of so many partners has two asks waiting.
-pub struct Granting {
+/// Ledger of a prefill server at which each of the given partners has two asks waiting.
+pub struct GrantBench {
     ledger: Ledger,
-    home: HostId,
+    host: HostId,
     partners: Vec<PartnerId>,
     held: Vec<(RequestId, AskId)>,
     next: u64,
     actions: Vec<LedgerAction>,
 }
 
-impl Granting {
+impl GrantBench {
     pub fn new(partners: usize) -> Self {
         let server = "s0".parse().unwrap();
         let settings = LedgerSettings::default();
         let ledger = Ledger::new(MonoTime(0), settings, server, Role::Prefill, 0, LINK, &[]);
         let partners = (0..partners).map(|number| format!("org{number}").parse().unwrap());
-        let mut granting = Self {
+        let mut bench = Self {
             ledger,
-            home: "h".parse().unwrap(),
+            host: "h".parse().unwrap(),
             partners: partners.collect(),
             held: Vec::new(),
             next: 0,
             actions: Vec::new(),
         };
-        (0..granting.partners.len() * 2 + 1).for_each(|_| granting.ask());
-        granting
+        (0..bench.partners.len() * 2 + 1).for_each(|_| bench.ask());
+        bench
     }
 
-    /// One ask taken in, one turn released and the next granted.
+    /// Queues one ask, releases one turn and grants the next.
     pub fn step(&mut self) {
         self.ask();
         let (request_id, ask) = self.held.pop().unwrap();
         let server = "s0".parse().unwrap();
         let release = SlotMessage::Release { server, request_id, ask, outcome: GrantOutcome::Done };
-        self.say(release);
+        self.send(release);
         assert_eq!(self.held.len(), 1);
     }
 
@@ -142,13 +142,13 @@
             copies: 2,
             needed_in_us: None,
         };
-        self.say(SlotMessage::Ask(ask));
+        self.send(SlotMessage::Ask(ask));
     }
 
-    fn say(&mut self, message: SlotMessage) {
+    fn send(&mut self, message: SlotMessage) {
         self.actions.clear();
         let now_us = MonoTime(self.next * 100);
-        self.ledger.handle(now_us, &self.home, Incarnation(1), message, &mut self.actions);
+        self.ledger.handle(now_us, &self.host, Incarnation(1), message, &mut self.actions);
         let mut started = None;
         for action in &self.actions {
             if let LedgerAction::Send { message: SlotMessage::Grant { request_id, ask, .. }, .. } = action {
@@ -158,7 +158,7 @@
         }
         if let Some(request_id) = started {
             let message = SlotMessage::Started { server: "s0".parse().unwrap(), request_id };
-            self.ledger.handle(now_us, &self.home, Incarnation(1), message, &mut self.actions);
+            self.ledger.handle(now_us, &self.host, Incarnation(1), message, &mut self.actions);
         }
     }
 }
--- a/crates/core/tests/sched/engines.rs
+++ b/crates/core/tests/sched/engines.rs
@@ -1,22 +1,23 @@
-//! Fakes of the model engines, in virtual time.
+//! Fake model engines in virtual time.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
 use hibiscusvale_core::ids::{Incarnation, RequestId};
 use hibiscusvale_core::sched::Attempt;
 
-/// A prompt at a prefill engine.
+/// Prompt queued at a prefill engine.
 #[derive(Clone, Debug)]
 pub struct Job {
     pub request_id: RequestId,
     pub attempt: Attempt,
-    pub home: usize,
+    pub daemon: usize,
     pub tokens: u64,
     pub blocks: Vec<u64>,
     pub priority: u8,
 }
 
-/// Reads one prompt after the other, keeps results until they are pulled or evicted.
+/// Fake prefill engine: processes one prompt at a time and keeps results until they are transferred or
+/// evicted.
 #[derive(Debug, Default)]
 pub struct PrefillEngine {
     pub queue: Vec<Job>,
@@ -24,9 +25,9 @@
     pub results: HashMap<RequestId, u64>,
     pub pinned: HashSet<RequestId>,
     pub cache: HashSet<u64>,
-    pub order: VecDeque<u64>,
-    pub slow: u64,
-    pub mute: bool,
+    pub insertion_order: VecDeque<u64>,
+    pub slowdown: u64,
+    pub unresponsive: bool,
     pub generation: u64,
 }
 
@@ -34,7 +35,7 @@
 const CACHE_BLOCKS: usize = 2_000;
 
 impl PrefillEngine {
-    /// Tokens of the prompt that the cache spares.
+    /// Prompt tokens served from the cache.
     pub fn cached(&self, job: &Job) -> u64 {
         let blocks = job.blocks.iter().take_while(|block| self.cache.contains(block)).count() as u64;
         (blocks * BLOCK_TOKENS).min(job.tokens.saturating_sub(1))
@@ -42,7 +43,7 @@
 
     /// Starts the next prompt if idle; returns its uncached tokens.
     pub fn start_next(&mut self) -> Option<u64> {
-        if self.running.is_some() || self.queue.is_empty() || self.mute {
+        if self.running.is_some() || self.queue.is_empty() || self.unresponsive {
             return None;
         }
         let first = (0..self.queue.len()).min_by_key(|&index| (self.queue[index].priority, index))?;
@@ -57,11 +58,11 @@
     pub fn store(&mut self, blocks: &[u64]) {
         for &block in blocks {
             if self.cache.insert(block) {
-                self.order.push_back(block);
+                self.insertion_order.push_back(block);
             }
         }
-        while self.order.len() > CACHE_BLOCKS {
-            let Some(oldest) = self.order.pop_front() else {
+        while self.insertion_order.len() > CACHE_BLOCKS {
+            let Some(oldest) = self.insertion_order.pop_front() else {
                 return;
             };
             self.cache.remove(&oldest);
@@ -86,54 +87,55 @@
         gone.into_iter().for_each(|id| self.cancel(id));
     }
 
-    /// Tokens waiting or running, as a load report would say.
+    /// Uncached tokens of the running prompt and all tokens of queued ones, as in a load report.
     pub fn backlog_tokens(&self) -> u64 {
         let running = self.running.iter().map(|(job, cached)| job.tokens - cached).sum::<u64>();
         running + self.queue.iter().map(|job| job.tokens).sum::<u64>()
     }
 }
 
-/// A request that holds a slot.
+/// Request that holds a slot.
 #[derive(Clone, Debug)]
-pub struct Seat {
-    pub home: usize,
+pub struct SlotHolder {
+    pub daemon: usize,
     pub attempt: Attempt,
     pub decoding: bool,
     pub answer: u64,
-    pub written: u64,
+    pub tokens_written: u64,
     pub rate: u64,
 }
 
-/// Writes one token for each of its requests in each step; a fuller batch steps slower.
+/// Fake decode engine: each step generates one token per request and takes longer with a fuller batch.
 #[derive(Debug, Default)]
 pub struct DecodeEngine {
-    pub seats: HashMap<RequestId, Seat>,
+    pub holders: HashMap<RequestId, SlotHolder>,
     pub slots: usize,
-    pub slow: u64,
-    pub mute: bool,
-    pub stepping: bool,
+    pub slowdown: u64,
+    pub unresponsive: bool,
+    pub is_stepping: bool,
     pub refused: u64,
-    pub most_link: u64,
+    pub peak_link: u64,
 }
 
 const STEP_BASE_US: u64 = 20_000;
-const STEP_PER_SEAT_US: u64 = 500;
+const STEP_PER_REQUEST_US: u64 = 500;
 
 impl DecodeEngine {
     pub fn step_us(&self) -> u64 {
-        let active = self.seats.values().filter(|seat| seat.decoding).count() as u64;
-        (STEP_BASE_US + STEP_PER_SEAT_US * active) * self.slow.max(1)
+        let active = self.holders.values().filter(|holder| holder.decoding).count() as u64;
+        (STEP_BASE_US + STEP_PER_REQUEST_US * active) * self.slowdown.max(1)
     }
 
-    /// Takes a slot for a transfer; false when there is none.
-    pub fn take(&mut self, request_id: RequestId, seat: Seat) -> bool {
-        if self.seats.len() >= self.slots && !self.seats.contains_key(&request_id) {
+    /// Reserves a slot for a transfer; returns false if none is free.
+    pub fn reserve(&mut self, request_id: RequestId, holder: SlotHolder) -> bool {
+        if self.holders.len() >= self.slots && !self.holders.contains_key(&request_id) {
             self.refused += 1;
             return false;
         }
-        self.seats.insert(request_id, seat);
-        let link = self.seats.values().filter(|seat| !seat.decoding).map(|seat| seat.rate).sum::<u64>();
-        self.most_link = self.most_link.max(link);
+        self.holders.insert(request_id, holder);
+        let link =
+            self.holders.values().filter(|holder| !holder.decoding).map(|holder| holder.rate).sum::<u64>();
+        self.peak_link = self.peak_link.max(link);
         true
     }
 }
--- a/crates/core/tests/sched/ledger.rs
+++ b/crates/core/tests/sched/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger of one decode server with two slots.
+//! Tests of the ledger of one server; decode servers have two slots.
 
 use hibiscusvale_core::ids::{HostId, Incarnation, RequestId};
 use hibiscusvale_core::slots::{
@@ -11,8 +11,8 @@
 const LINK: BytesPerSecond = BytesPerSecond(1_000);
 const TTL_US: u64 = 3_000_000;
 
-fn id(life: u64, sequence: u64) -> RequestId {
-    RequestId { incarnation: Incarnation(life.into()), sequence }
+fn id(incarnation: u64, sequence: u64) -> RequestId {
+    RequestId { incarnation: Incarnation(incarnation.into()), sequence }
 }
 
 fn ask(request_id: RequestId) -> SlotMessage {
@@ -56,22 +56,28 @@
     SlotMessage::Renew { server: "d0".parse().unwrap(), held }
 }
 
-struct Bench {
+struct LedgerFixture {
     ledger: Ledger,
     now_us: u64,
 }
 
-impl Bench {
+impl LedgerFixture {
     fn new(role: Role, others: &[Incarnation]) -> Self {
         let server = "d0".parse().unwrap();
         let ledger = Ledger::new(MonoTime(0), LedgerSettings::default(), server, role, 2, LINK, others);
         Self { ledger, now_us: 0 }
     }
 
-    fn say(&mut self, life: u64, message: SlotMessage) -> Vec<LedgerAction> {
+    fn send(&mut self, incarnation: u64, message: SlotMessage) -> Vec<LedgerAction> {
         let mut actions = Vec::new();
-        let host = format!("h{life}").parse::<HostId>().unwrap();
-        self.ledger.handle(MonoTime(self.now_us), &host, Incarnation(life.into()), message, &mut actions);
+        let host = format!("h{incarnation}").parse::<HostId>().unwrap();
+        self.ledger.handle(
+            MonoTime(self.now_us),
+            &host,
+            Incarnation(incarnation.into()),
+            message,
+            &mut actions,
+        );
         actions
     }
 
@@ -107,94 +113,96 @@
     actions.iter().filter_map(deny).collect()
 }
 
-// Three requests want two slots. The third has to wait for a release, not for a report.
+// Three requests ask for two slots. The third gets one after a release, without waiting for a load report.
 #[test]
 fn grants_exactly_its_slots() {
-    let mut bench = Bench::new(Role::Decode, &[]);
-    assert_eq!(granted(&bench.say(1, ask(id(1, 1)))), [1]);
-    assert_eq!(granted(&bench.say(1, ask(id(1, 2)))), [2]);
-    assert_eq!(granted(&bench.say(2, ask(id(2, 3)))), [] as [u64; 0]);
-    assert_eq!(granted(&bench.say(1, release(id(1, 1), GrantOutcome::Done))), [3]);
+    let mut fixture = LedgerFixture::new(Role::Decode, &[]);
+    assert_eq!(granted(&fixture.send(1, ask(id(1, 1)))), [1]);
+    assert_eq!(granted(&fixture.send(1, ask(id(1, 2)))), [2]);
+    assert_eq!(granted(&fixture.send(2, ask(id(2, 3)))), [] as [u64; 0]);
+    assert_eq!(granted(&fixture.send(1, release(id(1, 1), GrantOutcome::Done))), [3]);
 }
 
-// The message with the grant is lost and the daemon asks again: it must get the same slot, not a second.
+// When a grant message is lost and the daemon asks again, it must get the same slot, not a second one.
 #[test]
 fn repeated_ask_gets_the_same_grant() {
-    let mut bench = Bench::new(Role::Decode, &[]);
-    bench.say(1, ask(id(1, 1)));
-    assert_eq!(granted(&bench.say(1, ask(id(1, 1)))), [1]);
-    assert_eq!(bench.ledger.held_len(), 1);
+    let mut fixture = LedgerFixture::new(Role::Decode, &[]);
+    fixture.send(1, ask(id(1, 1)));
+    assert_eq!(granted(&fixture.send(1, ask(id(1, 1)))), [1]);
+    assert_eq!(fixture.ledger.held_len(), 1);
 }
 
-// A release is lost. The next list of held grants lacks the request, and its slot is free again; a grant
-// that may have crossed the list on its way is kept.
+// When a release is lost, the next list of held grants lacks the request and its slot is freed. A grant that
+// may have been sent after the list was built is kept.
 #[rstest]
 #[case::old_enough(400_000, 0)]
 #[case::crossing(100_000, 1)]
-fn list_mends_a_lost_release(#[case] at_us: u64, #[case] left: usize) {
-    let mut bench = Bench::new(Role::Decode, &[]);
-    bench.say(1, ask(id(1, 1)));
-    bench.now_us = at_us;
-    bench.say(1, renew(Vec::new()));
-    assert_eq!(bench.ledger.held_len(), left);
+fn renewal_frees_the_slot_of_a_lost_release(#[case] at_us: u64, #[case] left: usize) {
+    let mut fixture = LedgerFixture::new(Role::Decode, &[]);
+    fixture.send(1, ask(id(1, 1)));
+    fixture.now_us = at_us;
+    fixture.send(1, renew(Vec::new()));
+    assert_eq!(fixture.ledger.held_len(), left);
 }
 
-// A daemon dies with its grant. The grant runs out, the engine is told to release, and the slot is given
-// again only when the engine no longer reports it: until then it may still be working on it.
+// When a daemon fails, its grant expires and the engine is told to release it. The slot is granted again only
+// when the engine no longer reports the request: until then it may still be working on it.
 #[test]
-fn slot_of_a_dead_daemon_waits_for_the_engine() {
-    let mut bench = Bench::new(Role::Decode, &[]);
-    bench.say(1, ask(id(1, 1)));
-    bench.say(1, ask(id(1, 2)));
-    bench.say(2, ask(id(2, 3)));
-    bench.now_us = TTL_US + 1;
-    let cancelled = bench.tick().into_iter().filter(|action| matches!(action, LedgerAction::Cancel { .. }));
+fn slot_of_a_failed_daemon_waits_for_the_engine() {
+    let mut fixture = LedgerFixture::new(Role::Decode, &[]);
+    fixture.send(1, ask(id(1, 1)));
+    fixture.send(1, ask(id(1, 2)));
+    fixture.send(2, ask(id(2, 3)));
+    fixture.now_us = TTL_US + 1;
+    let cancelled = fixture.tick().into_iter().filter(|action| matches!(action, LedgerAction::Cancel { .. }));
     assert_eq!(cancelled.count(), 2);
-    bench.now_us += 1_000;
-    assert_eq!(granted(&bench.report(&[id(1, 1), id(1, 2)])), [] as [u64; 0]);
-    assert_eq!(granted(&bench.report(&[id(1, 1)])), [3]);
+    fixture.now_us += 1_000;
+    assert_eq!(granted(&fixture.report(&[id(1, 1), id(1, 2)])), [] as [u64; 0]);
+    assert_eq!(granted(&fixture.report(&[id(1, 1)])), [3]);
 }
 
-// The watcher changed. The earlier one granted a slot that this one does not know: it may grant nothing
-// until each daemon has said what it holds and the engine has reported.
+// After a change of watcher, slots granted by the previous watcher are unknown to the new one. It must not
+// grant until each daemon has listed its grants and the engine has reported.
 #[test]
 fn new_watcher_waits_for_old_grants() {
-    let mut bench = Bench::new(Role::Decode, &[Incarnation(1), Incarnation(2)]);
-    assert_eq!(denied(&bench.say(1, ask(id(1, 9)))), [DenyReason::Unhealthy]);
-    bench.say(1, renew(vec![held(id(1, 1))]));
-    bench.say(2, renew(vec![held(id(2, 2))]));
-    assert!(bench.ledger.is_quiet(MonoTime(0)));
-    bench.report(&[id(1, 1), id(2, 2)]);
-    assert!(!bench.ledger.is_quiet(MonoTime(0)));
-    assert_eq!(granted(&bench.say(1, ask(id(1, 9)))), [] as [u64; 0]);
-    assert_eq!(bench.ledger.counters().over_committed, 0);
-}
-
-// One daemon never registers. The quiet time ends with the life of the longest grant it can have.
+    let mut fixture = LedgerFixture::new(Role::Decode, &[Incarnation(1), Incarnation(2)]);
+    assert_eq!(denied(&fixture.send(1, ask(id(1, 9)))), [DenyReason::Unhealthy]);
+    fixture.send(1, renew(vec![held(id(1, 1))]));
+    fixture.send(2, renew(vec![held(id(2, 2))]));
+    assert!(fixture.ledger.is_quiet(MonoTime(0)));
+    fixture.report(&[id(1, 1), id(2, 2)]);
+    assert!(!fixture.ledger.is_quiet(MonoTime(0)));
+    assert_eq!(granted(&fixture.send(1, ask(id(1, 9)))), [] as [u64; 0]);
+    assert_eq!(fixture.ledger.counters().over_committed, 0);
+}
+
+// If a daemon never registers, the new watcher starts to grant when the longest possible grant of that daemon
+// has expired.
 #[test]
-fn quiet_time_ends_by_itself() {
-    let mut bench = Bench::new(Role::Decode, &[Incarnation(1)]);
-    bench.now_us = TTL_US;
-    assert_eq!(granted(&bench.say(2, ask(id(2, 1)))), [1]);
+fn grants_resume_when_unknown_grants_have_expired() {
+    let mut fixture = LedgerFixture::new(Role::Decode, &[Incarnation(1)]);
+    fixture.now_us = TTL_US;
+    assert_eq!(granted(&fixture.send(2, ask(id(2, 1)))), [1]);
 }
 
-// Two watchers granted the same slots for a moment. The excess is counted when the grants are registered.
+// When two watchers granted the same slots for a moment, the excess is counted once the grants are
+// registered.
 #[test]
 fn over_commitment_is_counted() {
-    let mut bench = Bench::new(Role::Decode, &[]);
-    bench.say(1, ask(id(1, 1)));
-    bench.say(1, ask(id(1, 2)));
-    bench.say(2, renew(vec![held(id(2, 3))]));
-    assert_eq!(bench.ledger.counters().over_committed, 1);
+    let mut fixture = LedgerFixture::new(Role::Decode, &[]);
+    fixture.send(1, ask(id(1, 1)));
+    fixture.send(1, ask(id(1, 2)));
+    fixture.send(2, renew(vec![held(id(2, 3))]));
+    assert_eq!(fixture.ledger.counters().over_committed, 1);
 }
 
-// The share of the link is given when the transfer can start, and never more than there is.
+// Link shares are granted when the transfer can start and never exceed the link.
 #[test]
 fn transfers_share_the_link() {
-    let mut bench = Bench::new(Role::Decode, &[]);
+    let mut fixture = LedgerFixture::new(Role::Decode, &[]);
     let rates = [1, 2].map(|sequence| {
-        bench.say(1, ask(id(1, sequence)));
-        let actions = bench.say(1, ready(id(1, sequence)));
+        fixture.send(1, ask(id(1, sequence)));
+        let actions = fixture.send(1, ready(id(1, sequence)));
         let confirm = |action: &LedgerAction| match action {
             LedgerAction::Send { message: SlotMessage::Confirm { rate_bytes_per_s, .. }, .. } => {
                 Some(rate_bytes_per_s.0)
@@ -206,45 +214,46 @@
     assert_eq!(rates, [500, 250]);
 }
 
-// A server takes two requests and answers neither. It is closed, those who wait are sent elsewhere, and
-// after a while one request tries it; the next is let in only when that one succeeded.
+// A server accepts two requests and answers neither. It is closed and waiting requests are denied; after a
+// delay one request probes it, and the next is admitted only after that one succeeded.
 #[test]
-fn mute_server_is_closed_and_tried() {
-    let mut bench = Bench::new(Role::Decode, &[]);
-    (1..=3).for_each(|sequence| drop(bench.say(1, ask(id(1, sequence)))));
-    bench.say(1, release(id(1, 1), GrantOutcome::TimedOut));
-    let actions = bench.say(1, ask(id(1, 4)));
+fn unresponsive_server_is_closed_and_probed() {
+    let mut fixture = LedgerFixture::new(Role::Decode, &[]);
+    (1..=3).for_each(|sequence| drop(fixture.send(1, ask(id(1, sequence)))));
+    fixture.send(1, release(id(1, 1), GrantOutcome::TimedOut));
+    let actions = fixture.send(1, ask(id(1, 4)));
     assert!(denied(&actions).is_empty());
-    let actions = bench.say(1, release(id(1, 2), GrantOutcome::TimedOut));
+    let actions = fixture.send(1, release(id(1, 2), GrantOutcome::TimedOut));
     assert_eq!(denied(&actions), [DenyReason::Unhealthy]);
-    bench.say(1, release(id(1, 3), GrantOutcome::Abandoned));
-    bench.now_us = 1_100_000;
-    assert_eq!(granted(&bench.say(1, ask(id(1, 5)))), [5]);
-    assert_eq!(denied(&bench.say(1, ask(id(1, 6)))), [DenyReason::Unhealthy]);
-    bench.say(1, release(id(1, 5), GrantOutcome::Done));
-    assert_eq!(granted(&bench.say(1, ask(id(1, 6)))), [6]);
+    fixture.send(1, release(id(1, 3), GrantOutcome::Abandoned));
+    fixture.now_us = 1_100_000;
+    assert_eq!(granted(&fixture.send(1, ask(id(1, 5)))), [5]);
+    assert_eq!(denied(&fixture.send(1, ask(id(1, 6)))), [DenyReason::Unhealthy]);
+    fixture.send(1, release(id(1, 5), GrantOutcome::Done));
+    assert_eq!(granted(&fixture.send(1, ask(id(1, 6)))), [6]);
 }
 
-// A leaving server is given nothing more, and those who wait are told at once.
+// A leaving server grants nothing more, and waiting requests are denied at once.
 #[test]
-fn leaving_server_sends_waiters_away() {
-    let mut bench = Bench::new(Role::Decode, &[]);
-    (1..=3).for_each(|sequence| drop(bench.say(1, ask(id(1, sequence)))));
+fn leaving_server_denies_waiting_requests() {
+    let mut fixture = LedgerFixture::new(Role::Decode, &[]);
+    (1..=3).for_each(|sequence| drop(fixture.send(1, ask(id(1, sequence)))));
     let mut actions = Vec::new();
-    bench.ledger.set_leaving(MonoTime(0), true, &mut actions);
+    fixture.ledger.set_leaving(MonoTime(0), true, &mut actions);
     assert_eq!(denied(&actions), [DenyReason::Leaving]);
-    assert_eq!(denied(&bench.say(1, ask(id(1, 4)))), [DenyReason::Leaving]);
+    assert_eq!(denied(&fixture.send(1, ask(id(1, 4)))), [DenyReason::Leaving]);
 }
 
-// A prefill server works on one prompt; a request that cannot be in time behind it is refused at once.
+// A prefill server processes one prompt at a time; a request that would miss its target behind it is denied
+// at once.
 #[test]
 fn prefill_ask_that_would_be_late_is_denied() {
-    let mut bench = Bench::new(Role::Prefill, &[]);
+    let mut fixture = LedgerFixture::new(Role::Prefill, &[]);
     let long = |sequence, tokens, slack_us| {
         let SlotMessage::Ask(ask) = ask(id(1, sequence)) else { unreachable!() };
         SlotMessage::Ask(Ask { work_tokens: Tokens(tokens), slack_us: Some(Micros(slack_us)), ..ask })
     };
-    assert_eq!(granted(&bench.say(1, long(1, 8_000, 0))), [1]);
-    assert_eq!(denied(&bench.say(1, long(2, 8_000, 900_000))), [DenyReason::WouldMissTarget]);
-    assert!(denied(&bench.say(1, long(3, 8_000, 1_100_000))).is_empty());
+    assert_eq!(granted(&fixture.send(1, long(1, 8_000, 0))), [1]);
+    assert_eq!(denied(&fixture.send(1, long(2, 8_000, 900_000))), [DenyReason::WouldMissTarget]);
+    assert!(denied(&fixture.send(1, long(3, 8_000, 1_100_000))).is_empty());
 }
--- a/crates/core/tests/sched/load.rs
+++ b/crates/core/tests/sched/load.rs
@@ -1,4 +1,4 @@
-//! Loads: who sends what, when.
+//! Generation of request loads.
 
 use hibiscusvale_core::sched::{Arrival, PrefillStart};
 use hibiscusvale_core::slots::QueueOrder;
@@ -6,25 +6,25 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// How requests are placed.
+/// Placement method.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Placement {
-    /// By load reports of all servers, half a second old; the least loaded.
+    /// Least loaded of all servers by load reports that are half a second old.
     StaleReports,
-    /// Two at random are probed and reply with their load.
+    /// Better of two random servers, which are probed for their load.
     RandomTwo,
-    /// The ledger with one watcher for each server.
+    /// Ledger with one watcher per server.
     #[default]
     Ledger,
 }
 
-/// One partner's stream of requests.
+/// Request stream of one partner.
 #[derive(Clone, Debug)]
 pub struct Source {
     pub name: String,
-    /// Part of the capacity.
+    /// Share of the capacity.
     pub load: f64,
-    /// Time of a surge, and its factor.
+    /// Surge: start and end in seconds, and the factor on the load.
     pub surge: Option<(u64, u64, f64)>,
     pub tight: f64,
     pub tight_ms: u64,
@@ -39,7 +39,7 @@
     Mixed,
     /// A tenth very long, the others short.
     LongAndShort,
-    /// Half of them share the first 2,048 tokens.
+    /// Half of the prompts share the first 2,048 tokens.
     HotPrefix,
 }
 
@@ -58,28 +58,28 @@
     }
 }
 
-/// Faults of one run; times are seconds.
+/// Faults of one run; times in seconds.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
     /// Prefill engine 0 is ten times slower.
     pub slow_prefill: bool,
     /// Decode engine 0 is ten times slower.
     pub slow_decode: bool,
-    /// Prefill engine 0 accepts and never answers, from then on.
-    pub mute_prefill_at: Option<u64>,
-    /// Decode engine 0 accepts and never answers, from then on.
-    pub mute_decode_at: Option<u64>,
-    /// Half the daemons are replaced, one each second from then on.
+    /// Prefill engine 0 accepts requests and never answers, from this time on.
+    pub unresponsive_prefill_at: Option<u64>,
+    /// Decode engine 0 accepts requests and never answers, from this time on.
+    pub unresponsive_decode_at: Option<u64>,
+    /// Half of the daemons are replaced, one each second from this time on.
     pub replace_at: Option<u64>,
-    /// No load reports in this time.
-    pub blackout: Option<(u64, u64)>,
-    /// Part of the callers that leave within a second.
-    pub leavers: f64,
-    /// The engines of one data centre (a quarter of each kind) cannot be reached in this time.
-    pub cut: Option<(u64, u64)>,
+    /// Period without load reports.
+    pub report_outage: Option<(u64, u64)>,
+    /// Fraction of callers that disconnect within a second.
+    pub leave_fraction: f64,
+    /// Period in which the engines of one data centre (a quarter of each role) are unreachable.
+    pub partition: Option<(u64, u64)>,
 }
 
-/// One run.
+/// Parameters of one run.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub placement: Placement,
@@ -100,7 +100,7 @@
             placement: Placement::Ledger,
             order: QueueOrder::FairDeadline,
             start: PrefillStart::AfterReservation,
-            sources: two(0.45, 0.45),
+            sources: two_partners(0.45, 0.45),
             faults: Faults::default(),
             daemons: 9,
             prefills: 4,
@@ -111,8 +111,8 @@
     }
 }
 
-/// Two partners with these parts of the capacity.
-pub fn two(a: f64, b: f64) -> Vec<Source> {
+/// Two partners with these shares of the capacity.
+pub fn two_partners(a: f64, b: f64) -> Vec<Source> {
     let first = Source { load: a, ..Source::default() };
     let second = Source { name: "b".to_owned(), load: b, ..Source::default() };
     vec![first, second]
@@ -124,16 +124,16 @@
 const MIXED: (f64, f64) = (300.0, 5_000.0);
 const MICROS: f64 = 1_000_000.0;
 
-/// Requests a second that the prefill engines can do, for the mixed prompts.
+/// Requests per second that the prefill engines can process, for mixed prompts.
 pub fn capacity(scenario: &Scenario) -> f64 {
     let (low, high) = MIXED;
     let mean = (high - low) / (high / low).ln();
     scenario.prefills as f64 * MICROS / (mean * PREFILL_TOKEN_US as f64)
 }
 
-/// An arrival with what only the world knows of it.
+/// Planned arrival, with data unknown to the scheduler.
 #[derive(Clone, Debug)]
-pub struct Planned {
+pub struct PlannedArrival {
     pub at_us: u64,
     pub source: usize,
     pub daemon: usize,
@@ -141,11 +141,11 @@
     pub blocks: Vec<u64>,
     pub tight: bool,
     pub answer: u64,
-    pub leaves_after_us: Option<u64>,
+    pub disconnects_after_us: Option<u64>,
 }
 
-/// All arrivals of a run, in order of time.
-pub fn plan(scenario: &Scenario) -> Vec<Planned> {
+/// All arrivals of a run in order of time.
+pub fn plan(scenario: &Scenario) -> Vec<PlannedArrival> {
     let mut planned = Vec::new();
     let capacity = capacity(scenario);
     for (index, source) in scenario.sources.iter().enumerate() {
@@ -160,14 +160,20 @@
             if at_us >= end_us {
                 break;
             }
-            planned.push(one(scenario, index, source, at_us as u64, &mut rng));
+            planned.push(planned_arrival(scenario, index, source, at_us as u64, &mut rng));
         }
     }
     planned.sort_by_key(|planned| planned.at_us);
     planned
 }
 
-fn one(scenario: &Scenario, index: usize, source: &Source, at_us: u64, rng: &mut StdRng) -> Planned {
+fn planned_arrival(
+    scenario: &Scenario,
+    index: usize,
+    source: &Source,
+    at_us: u64,
+    rng: &mut StdRng,
+) -> PlannedArrival {
     let (low, high) = MIXED;
     let prompt = match source.prompts {
         Prompts::Mixed => low * (high / low).powf(rng.random::<f64>()),
@@ -176,28 +182,32 @@
         Prompts::HotPrefix => 2_048.0 + 100.0 + 600.0 * rng.random::<f64>(),
     } as u64;
     let hot = source.prompts == Prompts::HotPrefix && rng.random::<f64>() < 0.5;
-    let own = rng.random::<u64>() | 1;
+    let unique = rng.random::<u64>() | 1;
     let block = |number: u64| {
         let shared = hot && number < 32;
-        if shared { 0xabcd_0000 + number } else { own.wrapping_add(number.wrapping_mul(0x9e37_79b9)) }
+        if shared { 0xabcd_0000 + number } else { unique.wrapping_add(number.wrapping_mul(0x9e37_79b9)) }
     };
     let blocks = (0..prompt / super::engines::BLOCK_TOKENS).map(block).collect();
-    let leaves = rng.random::<f64>() < scenario.faults.leavers;
-    Planned {
+    let disconnects = rng.random::<f64>() < scenario.faults.leave_fraction;
+    PlannedArrival {
         at_us,
         source: index,
         daemon: rng.random_range(0..scenario.daemons),
         prompt,
         blocks,
-        // A very long prompt cannot be read within the tight target; its sender knows that.
+        // A very long prompt cannot be prefilled within the tight target, so it uses the loose class.
         tight: prompt < 6_000 && rng.random::<f64>() < source.tight,
         answer: rng.random_range(source.answer / 2..=source.answer * 3 / 2),
-        leaves_after_us: leaves.then(|| rng.random_range(1_000..1_000_000)),
+        disconnects_after_us: disconnects.then(|| rng.random_range(1_000..1_000_000)),
     }
 }
 
-/// What a daemon sees of a planned arrival.
-pub fn arrival(source: &Source, planned: &Planned, request_id: hibiscusvale_core::ids::RequestId) -> Arrival {
+/// Arrival event of a planned arrival.
+pub fn arrival(
+    source: &Source,
+    planned: &PlannedArrival,
+    request_id: hibiscusvale_core::ids::RequestId,
+) -> Arrival {
     let (class, target_ms) =
         if planned.tight { ("tight", source.tight_ms) } else { ("loose", source.loose_ms) };
     Arrival {
--- a/crates/core/tests/sched/main.rs
+++ b/crates/core/tests/sched/main.rs
@@ -1,6 +1,6 @@
-//! Decisions under load, looked at from the outside: what callers get.
-#![allow(clippy::pedantic, reason = "fakes and expectations in short form")]
-#![allow(dead_code, reason = "the comparison bench uses the rest of the fakes")]
+//! Scheduling under load, measured by the results that callers get.
+#![allow(clippy::pedantic, reason = "test code with fakes is kept short")]
+#![allow(dead_code, reason = "the outcomes benchmark uses the rest of the fakes")]
 
 mod affinity;
 mod baseline;
@@ -13,4 +13,4 @@
 mod queue;
 mod scenarios;
 mod shift;
-mod world;
+mod simulation;
--- a/crates/core/tests/sched/outcome.rs
+++ b/crates/core/tests/sched/outcome.rs
@@ -1,6 +1,6 @@
-//! What came of a run, as its callers saw it.
+//! Results of a run as observed by the callers.
 
-/// One partner's requests.
+/// Results of one partner's requests. An answer is good if it met both targets.
 #[derive(Clone, Debug, Default)]
 pub struct PartnerOutcome {
     pub name: String,
@@ -18,31 +18,31 @@
         Self { name: name.to_owned(), ..Self::default() }
     }
 
-    pub fn note_second(&mut self, second: usize, good: bool) {
+    pub fn record_second(&mut self, second: usize, good: bool) {
         if self.good_by_second.len() <= second {
             self.good_by_second.resize(second + 1, 0);
         }
         self.good_by_second[second] += u64::from(good);
     }
 
-    /// Part of its requests that met both targets, in percent.
+    /// Share of the partner's requests that met both targets, in percent.
     pub fn goodput(&self) -> f64 {
         100.0 * self.good as f64 / self.arrivals.max(1) as f64
     }
 }
 
-/// A run.
+/// Results of one run.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     pub partners: Vec<PartnerOutcome>,
     pub prefill_tokens: u64,
     pub wasted_tokens: u64,
-    /// Tokens of prompts read by second, cached ones included.
+    /// Prompt tokens processed per second, including cached ones.
     pub read_by_second: Vec<u64>,
     pub refused_after_prefill: u64,
     pub engine_refusals: u64,
     pub over_committed: u64,
-    pub most_link: u64,
+    pub peak_link: u64,
     pub link: u64,
     pub unanswered: u64,
     pub held_at_end: u64,
@@ -51,13 +51,13 @@
     pub turns_returned: u64,
     pub closed: u64,
     pub messages: u64,
-    /// When a ledger first closed its server.
+    /// Time at which a ledger first closed its server.
     pub closed_at_us: Option<u64>,
-    /// Wasted prefill tokens by cause, as the counters name it.
+    /// Wasted prefill tokens by cause, named as in the counters.
     pub wasted_by: Vec<(&'static str, u64)>,
-    /// Answers that missed the first-token target: tight and loose; and those that only missed the pace.
-    pub late: [u64; 2],
-    pub slow: u64,
+    /// Answers that missed the first-token target, in the tight and the loose class.
+    pub missed_first_token: [u64; 2],
+    pub missed_per_token: u64,
 }
 
 impl Outcome {
@@ -77,12 +77,12 @@
         self.partners.iter().map(|partner| partner.failed).sum()
     }
 
-    /// Part of all requests that met both targets, in percent.
+    /// Share of all requests that met both targets, in percent.
     pub fn goodput(&self) -> f64 {
         100.0 * self.good() as f64 / self.arrivals().max(1) as f64
     }
 
-    /// Part of the prefill work that was thrown away or done again, in percent.
+    /// Share of the prefill work that was discarded or repeated, in percent.
     pub fn wasted(&self) -> f64 {
         100.0 * self.wasted_tokens as f64 / self.prefill_tokens.max(1) as f64
     }
--- a/crates/core/tests/sched/queue.rs
+++ b/crates/core/tests/sched/queue.rs
@@ -1,4 +1,4 @@
-//! The fair queue.
+//! Tests of the fair queue.
 
 use hibiscusvale_core::ids::{Incarnation, RequestId};
 use hibiscusvale_core::slots::{FairQueue, QueueSettings, Waiting};
@@ -29,43 +29,43 @@
     queue
 }
 
-// A partner fills the queue with deadlines that are all earlier than the other's. Deadline order over all
-// would serve the other last.
+// One partner fills the queue with deadlines earlier than the other's. A global deadline order would serve
+// the other partner last.
 #[test]
-fn partners_take_turns_whatever_their_deadlines() {
+fn partners_alternate_regardless_of_deadlines() {
     let mut queue =
         filled(&[(1, "a", Some(10)), (2, "a", Some(11)), (3, "a", Some(12)), (4, "b", Some(9_000))]);
     assert_eq!(pops(&mut queue, 0), [1, 4, 2, 3]);
 }
 
-// Inside a partner the most urgent comes first, and what is late already comes last.
+// Within a partner the earliest deadline is served first and late requests last.
 #[test]
 fn deadlines_order_the_work_of_one_partner() {
     let mut queue = filled(&[(1, "a", None), (2, "a", Some(90)), (3, "a", Some(50))]);
     assert_eq!(pops(&mut queue, 0), [3, 2, 1]);
 }
 
-// A request whose time runs out while it waits goes behind those that can still make it.
+// A request whose deadline passes while it waits is served after those that can still meet theirs.
 #[test]
-fn expired_requests_go_behind() {
+fn expired_requests_are_served_last() {
     let mut queue = filled(&[(1, "a", Some(40)), (2, "a", Some(90))]);
     assert_eq!(pops(&mut queue, 60), [2, 1]);
 }
 
-// Late requests must not starve while new ones that are in time keep coming.
+// Late requests must not starve while new requests that are on time keep arriving.
 #[test]
-fn late_requests_age() {
+fn late_requests_do_not_starve() {
     let mut queue = filled(&[(0, "a", None)]);
     let far_us = 100_000_000;
     (1..40).for_each(|sequence| queue.push(entry(sequence, "a", Some(far_us + sequence))));
     let order = pops(&mut queue, 9_000_000);
-    let place = order.iter().position(|&sequence| sequence == 0).unwrap();
-    assert!(place < 9, "served as number {place}");
+    let position = order.iter().position(|&sequence| sequence == 0).unwrap();
+    assert!(position < 9, "served at position {position}");
 }
 
-// A partner that was quiet for long must not have saved up turns, or its burst would shut the other out.
+// A partner that was idle must not accumulate credit, or its burst would shut out the other.
 #[test]
-fn quiet_partner_collects_no_credit() {
+fn idle_partner_accumulates_no_credit() {
     let mut queue = filled(&[]);
     for sequence in 0..50 {
         queue.push(entry(sequence, "a", Some(1_000)));
@@ -78,9 +78,9 @@
     assert!(of_b <= 3, "order {order:?}");
 }
 
-// The forecast of a partner that is owed time does not count the other's long queue.
+// The forecast for a partner below its fair share does not include the other partner's long queue.
 #[rstest]
-#[case::newcomer("b", 0, 100)]
+#[case::new_partner("b", 0, 100)]
 #[case::busy("a", 1_000, 1_100)]
 fn forecast_follows_fairness(#[case] partner: &str, #[case] at_least: u64, #[case] at_most: u64) {
     let mut queue = filled(&[]);
@@ -91,9 +91,9 @@
     assert!((at_least..=at_most).contains(&wait_us), "wait {wait_us} us");
 }
 
-// An urgent newcomer that would make an earlier, accepted request late is told so before it is taken in.
+// A new urgent request that would make an accepted request late is reported as such before it is admitted.
 #[test]
-fn newcomer_does_not_break_a_promise() {
+fn forecast_reports_harm_to_an_accepted_request() {
     let queue = filled(&[(1, "a", Some(50))]);
     let forecast = queue.forecast(MonoTime(0), &entry(2, "a", Some(10)), 1.0);
     assert!(forecast.harms_earlier);
--- a/crates/core/tests/sched/shift.rs
+++ b/crates/core/tests/sched/shift.rs
@@ -1,4 +1,4 @@
-//! Moving roles and loading models.
+//! Tests of role changes and model loads.
 
 use hibiscusvale_core::ids::ModelId;
 use hibiscusvale_core::sched::{EngineView, ModelDemand, ShiftOrder, ShiftPlanner, ShiftSettings};
@@ -34,8 +34,8 @@
     orders
 }
 
-// Prompts have become long and answers short: prefill is saturated, decode idles. One engine moves, after it
-// finished what it had, and nothing more happens until the effect can be seen.
+// Prompts become long and answers short: prefill is saturated and decode is idle. One engine changes role
+// after it finished its requests, and no further order follows until the effect can be observed.
 #[test]
 fn lasting_imbalance_moves_one_idle_engine() {
     let mut planner = ShiftPlanner::new(ShiftSettings::default());
@@ -45,28 +45,28 @@
     assert_eq!(orders, [ShiftOrder::Drain { server: "d0".parse().unwrap() }, to_prefill]);
 }
 
-// An engine never becomes idle. It goes back to work instead of standing half empty for ever.
+// An engine that never becomes idle returns to work instead of staying half empty.
 #[test]
-fn drain_that_takes_too_long_is_taken_back() {
+fn overdue_drain_is_cancelled() {
     let mut planner = ShiftPlanner::new(ShiftSettings::default());
     let orders = run(&mut planner, 0, 92, |_| engines(99, 20, 1));
     assert_eq!(orders[1], ShiftOrder::Undrain { server: "d0".parse().unwrap() });
     assert!(!orders.iter().any(|order| matches!(order, ShiftOrder::SetRole { .. })));
 }
 
-// The load swings every twenty seconds. Engines that followed each swing would lose their caches all day.
+// The load alternates every twenty seconds. Engines that followed each change would keep losing their caches.
 #[test]
-fn swinging_load_moves_nothing() {
+fn oscillating_load_causes_no_shift() {
     let mut planner = ShiftPlanner::new(ShiftSettings::default());
-    let swing = |second: u64| {
+    let oscillation = |second: u64| {
         if (second / 20).is_multiple_of(2) { engines(99, 20, 0) } else { engines(30, 80, 0) }
     };
-    assert_eq!(run(&mut planner, 0, 600, swing), []);
+    assert_eq!(run(&mut planner, 0, 600, oscillation), []);
 }
 
-// Prefill is saturated, but decode would be, too, with one engine less.
+// Prefill is saturated, but with one engine less decode would be too.
 #[test]
-fn shift_that_would_turn_the_imbalance_round_is_not_made() {
+fn shift_that_would_reverse_the_imbalance_is_rejected() {
     let mut planner = ShiftPlanner::new(ShiftSettings::default());
     let few = |_| {
         let mut engines = engines(99, 44, 0);
@@ -76,15 +76,15 @@
     assert_eq!(run(&mut planner, 0, 120, few), []);
 }
 
-// A model that no engine has is asked for; an idle engine loads it, one at a time.
+// A model without engines is requested: an idle engine loads it, and only one load runs at a time.
 #[test]
-fn wanted_model_is_loaded_on_an_idle_engine() {
+fn requested_model_is_loaded_on_an_idle_engine() {
     let mut planner = ShiftPlanner::new(ShiftSettings::default());
     let mut orders = Vec::new();
     for second in 0..35 {
         let now_us = MonoTime(second * SECOND_US);
-        let wanted = [demand("m", 5), demand("new", 3)];
-        planner.plan(now_us, &engines(20, 20, 0), &wanted, BytesPerSecond(100), &mut orders);
+        let demand_list = [demand("m", 5), demand("new", 3)];
+        planner.plan(now_us, &engines(20, 20, 0), &demand_list, BytesPerSecond(100), &mut orders);
     }
     assert_eq!(orders.len(), 1);
     let is_load =
@@ -92,9 +92,9 @@
     assert!(is_load(&orders[0]));
 }
 
-// Nobody asks for a model that the store has and no engine holds: nothing is loaded.
+// A model without demand and without engines is not loaded.
 #[test]
-fn unwanted_model_is_not_loaded() {
+fn model_without_demand_is_not_loaded() {
     let mut planner = ShiftPlanner::new(ShiftSettings::default());
     let mut orders = Vec::new();
     for second in 0..120 {
