--- a/crates/router/src/relay/budget.rs
+++ b/crates/router/src/relay/budget.rs
@@ -23,8 +23,11 @@
 /// Server health settings: the defaults with a shorter back-off. The server list is seconds old here rather
 /// than minutes, and partitions and restarts last for seconds; with a back-off of half a minute a server
 /// would stay unused for most of the time after its recovery.
-const INSTANCE_SETTINGS: InstanceSettings =
-    InstanceSettings { ejection_ms: Millis(500), ejection_max_ms: Millis(2_000), ..InstanceSettings::DEFAULT };
+const INSTANCE_SETTINGS: InstanceSettings = InstanceSettings {
+    ejection_ms: Millis(500),
+    ejection_max_ms: Millis(2_000),
+    ..InstanceSettings::DEFAULT
+};
 
 /// Scheduler settings of plain services.
 pub fn plain(bounds: &BoundSettings, daemons: u64) -> PlainSettings {
