--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod quarantine;
 pub mod quota;
 pub mod relay;
-pub mod repeats;
+pub mod retransmit;
 pub mod sched;
 pub mod slots;
 pub mod spread;
--- a/crates/core/src/quarantine/state.rs
+++ b/crates/core/src/quarantine/state.rs
@@ -8,7 +8,7 @@
 use super::report::{Finding, Gossip, Report, ReportId, ReportPage};
 use super::survivors::Survivors;
 use crate::ids::{BackendServerId, Incarnation};
-use crate::repeats::Repeats;
+use crate::retransmit::Repeats;
 use crate::units::{Micros, Millis, MonoTime};
 
 /// Reports in one message. A message fits a datagram beside what else it holds.
--- a/crates/core/src/quota/server_limits.rs
+++ b/crates/core/src/quota/server_limits.rs
@@ -7,7 +7,7 @@
 use super::ledger::LedgerSettings;
 use super::limit::{Quota, QuotaBounds, QuotaUnit};
 use crate::ids::BackendServerId;
-use crate::repeats::Repeats;
+use crate::retransmit::Repeats;
 use crate::units::{Credit, CreditPerSecond, Micros, Millis, MonoTime};
 
 /// Changes in one message. A message fits a datagram beside what else it holds.
--- a/crates/core/src/relay/engines/admitting.rs
+++ b/crates/core/src/relay/engines/admission.rs
@@ -3,8 +3,8 @@
 use super::EnginePool;
 use super::engine::Engine;
 use super::events::{Demand, EngineAction, EngineRefusal, Role};
-use super::open::{Open, Payment, Stage};
-use super::reading::START_MARGIN_MS;
+use super::open_request::{Open, Payment, Stage};
+use super::prefill::START_MARGIN_MS;
 use crate::allowance::ASK_AGAIN_MS;
 use crate::ids::RequestId;
 use crate::outcome::{Attempts, Outcome};
--- a/crates/core/src/relay/engines/ending.rs
+++ b/crates/core/src/relay/engines/completion.rs
@@ -2,7 +2,7 @@
 
 use super::EnginePool;
 use super::events::{EngineAction, EngineRefusal};
-use super::open::Stage;
+use super::open_request::Stage;
 use crate::ids::RequestId;
 use crate::outcome::{NoRetry, Outcome};
 use crate::sched::FailureCause;
--- a/crates/core/src/relay/engines/engine.rs
+++ b/crates/core/src/relay/engines/engine.rs
@@ -3,9 +3,9 @@
 use std::collections::HashMap;
 
 use super::events::{Holding, ListedEngine, Role};
-use super::packing::{Growth, headroom, peak};
+use super::memory::{Growth, headroom, peak};
 use super::peers::{PeerIndex, Rank};
-use super::seen::Seen;
+use super::stats::Seen;
 use crate::ids::RequestId;
 use crate::sched::InstanceSettings;
 use crate::sched::instance::Instance;
--- a/crates/core/src/relay/engines/events.rs
+++ b/crates/core/src/relay/engines/events.rs
@@ -2,8 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::packing::Growth;
-use super::seen::Seen;
+use super::memory::Growth;
+use super::stats::Seen;
 use crate::allowance::Ask;
 use crate::ids::{BackendServerId, HostId, RequestId};
 use crate::outcome::Repeatability;
--- a/crates/core/src/relay/engines/mod.rs
+++ b/crates/core/src/relay/engines/mod.rs
@@ -4,20 +4,20 @@
 //! before the prompt is read: a KV cache that finds no writer within half a second is lost, and the reading was in
 //! vain.
 
-mod admitting;
-mod ending;
+mod admission;
+mod completion;
 mod engine;
 mod events;
-mod open;
-mod packing;
-mod paying;
+mod memory;
+mod open_request;
 mod peers;
-mod placing;
+mod placement;
+mod prefill;
 mod ratio;
-mod reading;
-mod seen;
+mod retry_payment;
+mod role_balance;
 mod settings;
-mod splitting;
+mod stats;
 
 use std::collections::HashMap;
 
@@ -30,14 +30,14 @@
     Demand, EngineAction, EngineCounters, EngineEvent, EngineRefusal, Holding, Holdings, ListedEngine, Role,
     ToldLoad,
 };
-use open::Open;
-pub use packing::{Growth, headroom, peak};
+pub use memory::{Growth, headroom, peak};
+use open_request::Open;
 use peers::{Peers, Rank};
-use seen::Fading;
-pub use seen::Seen;
+pub use role_balance::Shift;
+use role_balance::SplitState;
 pub use settings::EnginePoolSettings;
-pub use splitting::Shift;
-use splitting::SplitState;
+use stats::Fading;
+pub use stats::Seen;
 
 /// Places the requests of one daemon for one service of engines.
 #[derive(Debug)]
--- a/crates/core/src/relay/engines/open.rs
+++ b/crates/core/src/relay/engines/open_request.rs
@@ -1,7 +1,7 @@
 //! A request that has not ended.
 
 use super::events::Demand;
-use super::packing::Growth;
+use super::memory::Growth;
 use crate::outcome::Attempts;
 use crate::units::{Millis, MonoTime, Tokens};
 
--- a/crates/core/src/relay/engines/peers.rs
+++ b/crates/core/src/relay/engines/peers.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use super::seen::Seen;
+use super::stats::Seen;
 use crate::ids::{BackendServerId, HostId};
 use crate::units::Tokens;
 
--- a/crates/core/src/relay/engines/placing.rs
+++ b/crates/core/src/relay/engines/placement.rs
@@ -2,8 +2,8 @@
 
 use super::EnginePool;
 use super::events::{EngineAction, Role};
-use super::open::{Payment, Stage};
-use super::packing::Growth;
+use super::memory::Growth;
+use super::open_request::{Payment, Stage};
 use crate::ids::RequestId;
 use crate::sched::FailureCause;
 use crate::units::{Millis, MonoTime, Tokens};
--- a/crates/core/src/relay/engines/reading.rs
+++ b/crates/core/src/relay/engines/prefill.rs
@@ -2,7 +2,7 @@
 
 use super::EnginePool;
 use super::events::{Demand, Role};
-use super::open::Open;
+use super::open_request::Open;
 use crate::units::{Micros, Millis, MonoTime, Tokens};
 
 impl EnginePool {
--- a/crates/core/src/relay/engines/paying.rs
+++ b/crates/core/src/relay/engines/retry_payment.rs
@@ -2,7 +2,7 @@
 
 use super::EnginePool;
 use super::events::EngineAction;
-use super::open::Payment;
+use super::open_request::Payment;
 use crate::allowance::LOAN_WAIT_MS;
 use crate::ids::RequestId;
 use crate::units::MonoTime;
--- a/crates/core/src/relay/mod.rs
+++ b/crates/core/src/relay/mod.rs
@@ -4,11 +4,11 @@
 //! Classes know what a request says; here only its route and its organisation are known, and for a model's requests the
 //! size of prompt and answer that the caller states.
 
-pub mod audience;
 pub mod engines;
+pub mod expired_entries;
 pub mod joining;
-pub mod lapses;
 pub mod partners;
-pub mod patience;
-pub mod reading;
+pub mod prior_wait;
+pub mod recipients;
 pub mod routes;
+pub mod store_refresh;
--- a/crates/core/tests/relay/engines.rs
+++ b/crates/core/tests/relay/engines.rs
@@ -11,7 +11,7 @@
 use hibiscusvale_core::units::{Millis, Tokens};
 use rstest::rstest;
 
-use crate::world::{Bench, demand, listed, request_id, server, settings};
+use crate::simulation::{Bench, demand, listed, request_id, server, settings};
 
 const ENGINES: [(&str, Role); 4] =
     [("r-1", Role::Prefill), ("r-2", Role::Prefill), ("w-1", Role::Decode), ("w-2", Role::Decode)];
--- a/crates/core/tests/relay/load.rs
+++ b/crates/core/tests/relay/load.rs
@@ -4,7 +4,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::world::{Fate, World, demand};
+use crate::simulation::{Fate, World, demand};
 
 /// The engines of a small installation.
 const ENGINES: [(&str, Role); 11] = [
--- a/crates/core/tests/relay/main.rs
+++ b/crates/core/tests/relay/main.rs
@@ -1,13 +1,13 @@
 //! Decisions for opaque requests.
 #![allow(clippy::pedantic, reason = "fakes and expectations in short form")]
 
-mod audience;
 mod engines;
 mod joining;
-mod knowledge;
 mod load;
-mod packing;
+mod memory;
 mod partners;
-mod patience;
+mod prior_wait;
+mod recipients;
 mod routes;
-mod world;
+mod simulation;
+mod store_refresh;
--- a/crates/core/tests/relay/patience.rs
+++ b/crates/core/tests/relay/prior_wait.rs
@@ -1,10 +1,10 @@
 //! How long callers have waited before they came.
 
 use hibiscusvale_core::relay::engines::{EngineAction, EngineEvent, Role};
-use hibiscusvale_core::relay::patience::Patience;
+use hibiscusvale_core::relay::prior_wait::Patience;
 use hibiscusvale_core::units::{Millis, MonoTime};
 
-use crate::world::{Bench, demand, request_id, settings};
+use crate::simulation::{Bench, demand, request_id, settings};
 
 const START_US: MonoTime = MonoTime(1_000_000);
 
--- a/crates/core/tests/relay/audience.rs
+++ b/crates/core/tests/relay/recipients.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, VecDeque};
 
 use hibiscusvale_core::ids::{DataCentreId, HostId};
-use hibiscusvale_core::relay::audience::{Audience, Reach};
+use hibiscusvale_core::relay::recipients::{Audience, Reach};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rstest::rstest;
--- a/crates/core/tests/relay/knowledge.rs
+++ b/crates/core/tests/relay/store_refresh.rs
@@ -1,11 +1,11 @@
 //! Who reads the store, and what a vanished entry proves.
 
 use hibiscusvale_core::ids::{BackendServerId, HostId};
-use hibiscusvale_core::relay::lapses::Lapses;
-use hibiscusvale_core::relay::reading::{Reading, ReadingSettings, Told, is_reader};
+use hibiscusvale_core::relay::expired_entries::Lapses;
+use hibiscusvale_core::relay::store_refresh::{Reading, ReadingSettings, Told, is_reader};
 use hibiscusvale_core::units::{Micros, Millis, MonoTime};
 
-use crate::world::server;
+use crate::simulation::server;
 
 /// Place of a daemon that reads for others, and of the first that does not.
 const READER: usize = 0;
--- a/crates/router/src/relay/budget.rs
+++ b/crates/router/src/relay/budget.rs
@@ -5,8 +5,8 @@
 //! share.
 
 use hibiscusvale_core::allowance::{AllowanceSettings, TRY};
-use hibiscusvale_core::relay::audience::Reach;
 use hibiscusvale_core::relay::engines::EnginePoolSettings;
+use hibiscusvale_core::relay::recipients::Reach;
 use hibiscusvale_core::sched::{InstanceSettings, PlainSettings};
 use hibiscusvale_core::units::{Credit, Millis};
 
--- a/crates/router/src/relay/daemon.rs
+++ b/crates/router/src/relay/daemon.rs
@@ -8,7 +8,7 @@
 
 use arc_swap::ArcSwap;
 use hibiscusvale_core::ids::Incarnation;
-use hibiscusvale_core::relay::audience::Reach;
+use hibiscusvale_core::relay::recipients::Reach;
 use hibiscusvale_core::relay::routes::{RouteTable, TableVersion};
 use hibiscusvale_core::units::Millis;
 use parking_lot::Mutex;
--- a/crates/router/src/relay/freshness.rs
+++ b/crates/router/src/relay/freshness.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use hibiscusvale_core::ids::HostId;
-use hibiscusvale_core::relay::reading::{Reading, ReadingSettings, Told, place};
 use hibiscusvale_core::relay::routes::TableVersion;
+use hibiscusvale_core::relay::store_refresh::{Reading, ReadingSettings, Told, place};
 use hibiscusvale_core::units::{Micros, Millis, MonoTime};
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
--- a/crates/router/src/relay/orders.rs
+++ b/crates/router/src/relay/orders.rs
@@ -13,7 +13,7 @@
 use hibiscusvale_core::ids::{DataCentreId, FencingNumber, HostId};
 use hibiscusvale_core::lease::{HeldLease, Lease, LeaseFold, LeaseHolder, LeaseRecord, LeaseSettings};
 use hibiscusvale_core::relay::engines::{Role, Shift};
-use hibiscusvale_core::relay::reading::{ReadingSettings, is_reader};
+use hibiscusvale_core::relay::store_refresh::{ReadingSettings, is_reader};
 use hibiscusvale_core::units::{Millis, MonoTime};
 use http::StatusCode;
 
--- a/crates/router/src/relay/peers.rs
+++ b/crates/router/src/relay/peers.rs
@@ -7,7 +7,7 @@
 
 use hibiscusvale_core::ids::{DataCentreId, HostId, Incarnation};
 use hibiscusvale_core::quota::Coverage;
-use hibiscusvale_core::relay::audience::{Audience, Reach};
+use hibiscusvale_core::relay::recipients::{Audience, Reach};
 use parking_lot::Mutex;
 use rand::seq::{IndexedRandom, SliceRandom};
 use tokio::sync::watch;
--- a/crates/router/src/relay/state.rs
+++ b/crates/router/src/relay/state.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use hibiscusvale_core::ids::{BackendServerId, Incarnation, PartnerId, RequestId, ServiceId};
 use hibiscusvale_core::quarantine::Fingerprint;
-use hibiscusvale_core::relay::patience::Patience;
+use hibiscusvale_core::relay::prior_wait::Patience;
 use hibiscusvale_core::relay::routes::{Route, RouteTable};
 use hibiscusvale_core::units::{Credit, Millis, Tokens};
 use http::{HeaderMap, Method};
--- a/crates/router/src/relay/watch.rs
+++ b/crates/router/src/relay/watch.rs
@@ -6,8 +6,8 @@
 use std::sync::atomic::Ordering;
 
 use hibiscusvale_core::ids::HostId;
-use hibiscusvale_core::relay::audience::Reach;
-use hibiscusvale_core::relay::lapses::Lapses;
+use hibiscusvale_core::relay::expired_entries::Lapses;
+use hibiscusvale_core::relay::recipients::Reach;
 use hibiscusvale_core::relay::routes::RouteTable;
 use hibiscusvale_core::units::Millis;
 
