--- a/crates/core/examples/decision_cost.rs
+++ b/crates/core/examples/decision_cost.rs
@@ -16,7 +16,7 @@
             (0..number(3)).for_each(|_| placement.step());
         }
         "hear" => {
-            let mut hearing = relay_cost::Hearing::new(number(1) as usize, number(2) as usize);
+            let mut hearing = relay_cost::PeerUpdates::new(number(1) as usize, number(2) as usize);
             (0..number(3)).for_each(|_| hearing.step());
         }
         _ => {
--- a/crates/core/src/quarantine/state.rs
+++ b/crates/core/src/quarantine/state.rs
@@ -8,7 +8,7 @@
 use super::report::{Finding, Gossip, Report, ReportId, ReportPage};
 use super::survivors::Survivors;
 use crate::ids::{BackendServerId, Incarnation};
-use crate::retransmit::Repeats;
+use crate::retransmit::RetransmitQueue;
 use crate::units::{Micros, Millis, MonoTime};
 
 /// Reports in one message. A message fits a datagram beside what else it holds.
@@ -91,7 +91,7 @@
     suspects: HashMap<Fingerprint, Evidence>,
     survivors: Survivors,
     /// Reports of this daemon for the next messages; whoever misses all of them notices by the digest.
-    pending: Repeats<Pending>,
+    pending: RetransmitQueue<Pending>,
     digest: u64,
     ask_at_us: MonoTime,
     /// Behind which fingerprint to ask next.
@@ -114,7 +114,7 @@
             reports_made: 0,
             suspects: HashMap::new(),
             survivors: Survivors::new(settings.survivors_max),
-            pending: Repeats::default(),
+            pending: RetransmitQueue::default(),
             digest: 0,
             ask_at_us: MonoTime::default(),
             asked_after: None,
@@ -199,7 +199,7 @@
     pub fn gossip(&mut self, now_us: MonoTime) -> Gossip {
         let reckoned_us = self.reckoned(now_us);
         let mut reports = Vec::new();
-        for pending in self.pending.newest(GOSSIP_REPORTS_MAX) {
+        for pending in self.pending.take_newest(GOSSIP_REPORTS_MAX) {
             let evidence = self.suspects.get(&pending.fingerprint);
             let known = evidence.map(|evidence| evidence.reports(reckoned_us, pending.fingerprint));
             reports.extend(known.into_iter().flatten().find(|report| report.id == pending.id));
--- a/crates/core/src/quota/server_limits.rs
+++ b/crates/core/src/quota/server_limits.rs
@@ -7,7 +7,7 @@
 use super::ledger::LedgerSettings;
 use super::limit::{Quota, QuotaBounds, QuotaUnit};
 use crate::ids::BackendServerId;
-use crate::retransmit::Repeats;
+use crate::retransmit::RetransmitQueue;
 use crate::units::{Credit, CreditPerSecond, Micros, Millis, MonoTime};
 
 /// Changes in one message. A message fits a datagram beside what else it holds.
@@ -57,7 +57,7 @@
 pub struct ServerLimits {
     stated: HashMap<BackendServerId, Stated>,
     /// Changes for the next messages; a daemon that misses all of them learns them from its own answers.
-    pending: Repeats<BackendServerId>,
+    pending: RetransmitQueue<BackendServerId>,
 }
 
 impl ServerLimits {
@@ -106,7 +106,7 @@
 
     /// What goes into the next message to the other daemons.
     pub fn gossip(&mut self, now_us: MonoTime) -> Vec<LimitStatement> {
-        let due = self.pending.oldest(GOSSIP_MAX);
+        let due = self.pending.take_oldest(GOSSIP_MAX);
         due.iter().filter_map(|server| self.statement(now_us, server)).collect()
     }
 
--- a/crates/core/src/relay/engines/completion.rs
+++ b/crates/core/src/relay/engines/completion.rs
@@ -1,4 +1,4 @@
-//! How steps end, and what becomes of a request then.
+//! How the stages of a request end, and what happens to the request then.
 
 use super::EnginePool;
 use super::events::{EngineAction, EngineRefusal};
@@ -9,7 +9,7 @@
 use crate::units::{Micros, Millis, MonoTime, Tokens};
 
 impl EnginePool {
-    pub(super) fn prompt_read(
+    pub(super) fn prompt_prefilled(
         &mut self,
         now_us: MonoTime,
         request_id: RequestId,
@@ -18,23 +18,23 @@
         let Some(open) = self.open.get_mut(&request_id) else {
             return;
         };
-        let Stage::Reading { reader, writer, since_us, ahead } = open.stage else {
+        let Stage::Prefilling { prefill_engine, decode_engine, since_us, ahead } = open.stage else {
             return;
         };
-        open.read = Some((reader, now_us));
-        open.reads += 1;
-        if open.reads > 1 {
+        open.prefilled = Some((prefill_engine, now_us));
+        open.prefills += 1;
+        if open.prefills > 1 {
             self.budget.charge(now_us);
             self.counters.retries += 1;
         }
         let prompt_tokens = open.demand.prompt_tokens;
-        self.engines[reader].end_reading(prompt_tokens);
-        self.engines[reader].instance.finish(Micros::ZERO);
-        self.note_reading(prompt_tokens, ahead, now_us.since(since_us));
-        self.write(now_us, request_id, writer, Some(reader), actions);
+        self.engines[prefill_engine].remove_prefill(prompt_tokens);
+        self.engines[prefill_engine].instance.finish(Micros::ZERO);
+        self.record_prefill(prompt_tokens, ahead, now_us.since(since_us));
+        self.start_decode(now_us, request_id, decode_engine, Some(prefill_engine), actions);
     }
 
-    pub(super) fn read_failed(
+    pub(super) fn prefill_failed(
         &mut self,
         now_us: MonoTime,
         request_id: RequestId,
@@ -44,51 +44,52 @@
         let Some(open) = self.open.get_mut(&request_id) else {
             return;
         };
-        let Stage::Reading { reader, writer, .. } = open.stage else {
+        let Stage::Prefilling { prefill_engine, decode_engine, .. } = open.stage else {
             return;
         };
         open.stage = Stage::Waiting;
         if cause != FailureCause::Limited {
-            open.failed_at = Some(reader);
+            open.failed_at = Some(prefill_engine);
         }
         let prompt_tokens = open.demand.prompt_tokens;
-        self.engines[reader].end_reading(prompt_tokens);
-        self.engines[reader].instance.fail(now_us, cause, true);
-        // It has reached the engine, or may have: that counts although it was not accepted.
+        self.engines[prefill_engine].remove_prefill(prompt_tokens);
+        self.engines[prefill_engine].instance.fail(now_us, cause, true);
+        // The request has reached the engine, or may have, so it counts although it was not accepted.
         if !matches!(cause, FailureCause::NotSent | FailureCause::Limited) {
             self.budget.charge(now_us);
             self.counters.retries += 1;
         }
         if cause == FailureCause::NoRoom {
-            self.engines[reader].refused(now_us);
+            self.engines[prefill_engine].mark_full(now_us);
         }
-        self.engines[writer].release(request_id);
-        self.engines[writer].instance.cancel(now_us);
-        self.wait_again(now_us, request_id, actions);
+        self.engines[decode_engine].release(request_id);
+        self.engines[decode_engine].instance.cancel(now_us);
+        self.requeue(now_us, request_id, actions);
     }
 
     pub(super) fn started(&mut self, now_us: MonoTime, request_id: RequestId) {
         let Some(open) = self.open.get_mut(&request_id) else {
             return;
         };
-        open.read = None;
-        open.begun = true;
-        let Stage::Writing { writer, since_us, reads } = &mut open.stage else {
+        open.prefilled = None;
+        open.has_started = true;
+        let Stage::Decoding { decode_engine, since_us, own_prefill_tokens } = &mut open.stage else {
             return;
         };
-        let (writer, since_us, reads) = (*writer, *since_us, std::mem::take(reads));
-        if reads > Tokens::ZERO {
-            self.note_own_reading(now_us, writer, reads, since_us);
+        let (decode_engine, since_us, own_prefill_tokens) =
+            (*decode_engine, *since_us, std::mem::take(own_prefill_tokens));
+        if own_prefill_tokens > Tokens::ZERO {
+            self.record_decode_engine_prefill(now_us, decode_engine, own_prefill_tokens, since_us);
         }
-        self.engines[writer].end_reading(reads);
-        self.engines[writer].grows(now_us, request_id);
+        self.engines[decode_engine].remove_prefill(own_prefill_tokens);
+        self.engines[decode_engine].start_growth(now_us, request_id);
     }
 
-    /// Follows what a running answer takes.
+    /// Tracks the memory and decode rate of a running answer.
     ///
-    /// Load: the first seconds of a deployment, and engines that turn slow or fast. Harm prevented: until answers have
-    /// ended, seconds later, their pace would be a guess; ten times off, it has writers refused as full that are half
-    /// empty, and the split of engines judged wrong.
+    /// Without it the rate would be a guess until answers end, seconds after a start or after engines change
+    /// speed. A guess that is ten times off makes half-empty decode engines count as full and misjudges the
+    /// split of roles.
     pub(super) fn progress(
         &mut self,
         now_us: MonoTime,
@@ -99,19 +100,19 @@
         let Some(open) = self.open.get_mut(&request_id) else {
             return;
         };
-        let Stage::Writing { writer, .. } = open.stage else {
+        let Stage::Decoding { decode_engine, .. } = open.stage else {
             return;
         };
-        let written = Tokens(events * self.settings.event_tokens);
-        self.engines[writer].written(now_us, request_id, open.demand.prompt_tokens + written);
+        let decoded = Tokens(events * self.settings.event_tokens);
+        self.engines[decode_engine].set_memory(now_us, request_id, open.demand.prompt_tokens + decoded);
         if let Some((before_us, before)) = open.progress.replace((now_us, events)) {
             let tokens = Tokens(events.saturating_sub(before) * self.settings.event_tokens);
-            self.fading.seen.note_written(tokens, now_us.since(before_us));
-            self.note_pause(now_us, writer, before_us, longest_pause_ms);
+            self.own_stats.stats.record_decoded(tokens, now_us.since(before_us));
+            self.record_pause(now_us, decode_engine, before_us, longest_pause_ms);
         }
     }
 
-    pub(super) fn write_failed(
+    pub(super) fn decode_failed(
         &mut self,
         now_us: MonoTime,
         request_id: RequestId,
@@ -121,23 +122,23 @@
         let Some(open) = self.open.get_mut(&request_id) else {
             return;
         };
-        let Stage::Writing { writer, reads, .. } = open.stage else {
+        let Stage::Decoding { decode_engine, own_prefill_tokens, .. } = open.stage else {
             return;
         };
-        self.engines[writer].end_reading(reads);
+        self.engines[decode_engine].remove_prefill(own_prefill_tokens);
         open.stage = Stage::Waiting;
         open.progress = None;
-        // What a failed try brought is never a whole answer.
-        let _ = open.tries.end(cause.attempt_end());
+        // A failed attempt never brings a whole answer.
+        let _ = open.attempts.end(cause.attempt_end());
         if cause != FailureCause::Limited {
-            open.failed_at = Some(writer);
+            open.failed_at = Some(decode_engine);
         }
-        self.give_back(now_us, writer, request_id, cause);
-        self.wait_again(now_us, request_id, actions);
+        self.undo_placement(now_us, decode_engine, request_id, cause);
+        self.requeue(now_us, request_id, actions);
     }
 
-    /// Has a request wait for other engines, or ends it by what its tries prove.
-    pub(super) fn wait_again(
+    /// Puts a request back into the queue for other engines, or ends it according to what its attempts prove.
+    pub(super) fn requeue(
         &mut self,
         now_us: MonoTime,
         request_id: RequestId,
@@ -146,18 +147,18 @@
         let Some(open) = self.open.get_mut(&request_id) else {
             return;
         };
-        if open.begun {
+        if open.has_started {
             open.waits_since_us = now_us;
         }
-        match open.tries.may_begin() {
-            Ok(()) if self.has_writer(now_us) => self.waiting.push(request_id),
+        match open.attempts.may_begin() {
+            Ok(()) if self.has_decode_engine(now_us) => self.waiting.push(request_id),
             Ok(()) | Err(NoRetry::Exhausted | NoRetry::MayHaveRun | NoRetry::Reported) => {
                 self.give_up(now_us, request_id, actions);
             }
         }
     }
 
-    /// Ends a request that is not tried again.
+    /// Ends a request that is not attempted again.
     pub(super) fn give_up(
         &mut self,
         now_us: MonoTime,
@@ -165,13 +166,13 @@
         actions: &mut Vec<EngineAction>,
     ) {
         let may_have_run =
-            self.open.get(&request_id).is_some_and(|open| open.tries.outcome() != Outcome::NotRun);
+            self.open.get(&request_id).is_some_and(|open| open.attempts.outcome() != Outcome::NotRun);
         if may_have_run {
             self.close(now_us, request_id);
             self.counters.unknown += 1;
             actions.push(EngineAction::Unknown { request_id });
         } else {
-            self.refuse(now_us, request_id, EngineRefusal::RetriesSpent, actions);
+            self.refuse(now_us, request_id, EngineRefusal::RetriesExhausted, actions);
         }
     }
 
@@ -182,49 +183,50 @@
         reason: EngineRefusal,
         actions: &mut Vec<EngineAction>,
     ) {
-        let retry_after_ms = self.come_back_ms(now_us, request_id);
+        let retry_after_ms = self.retry_delay_ms(now_us, request_id);
         self.close(now_us, request_id);
         self.counters.refused += 1;
         actions.push(EngineAction::Refuse { request_id, reason, retry_after_ms });
     }
 
-    /// When another try is worth making: when what waits has been placed, and about half to one and a half times as
-    /// long again as an answer takes. Spread out, so that callers who were refused together do not return together.
-    fn come_back_ms(&self, now_us: MonoTime, request_id: RequestId) -> Millis {
+    /// When a retry is worthwhile: once everything that waits now has been placed, plus 0.5 to 1.5 times the
+    /// duration of an answer. The spread keeps callers that were refused together from returning together.
+    fn retry_delay_ms(&self, now_us: MonoTime, request_id: RequestId) -> Millis {
         let Some(open) = self.open.get(&request_id) else {
             return RETRY_AFTER_MS;
         };
-        let Some(wait_us) = self.expected_wait_us(now_us, open.room) else {
+        let Some(wait_us) = self.expected_wait_us(now_us, open.final_tokens) else {
             return RETRY_AFTER_MS;
         };
-        let hundredths = SPREAD_FROM + request_id.sequence.wrapping_mul(SPREAD_STEP) % SPREAD_WIDTH;
+        let percent = RETRY_SPREAD_MIN_PERCENT
+            + request_id.sequence.wrapping_mul(RETRY_SPREAD_STEP_PERCENT) % RETRY_SPREAD_WIDTH_PERCENT;
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "a positive span")]
-        let answer_us = self.usual_hold_us() as u64 * hundredths / WHOLE;
+        let answer_us = self.typical_hold_us() as u64 * percent / PERCENT;
         let limited_us = self.limited_wait(now_us).unwrap_or_default();
         (wait_us.max(limited_us) + Micros(answer_us)).to_millis_ceil()
     }
 
-    /// Forgets a request and gives back what was reserved for it.
+    /// Removes a request and releases what was reserved for it.
     pub(super) fn close(&mut self, now_us: MonoTime, request_id: RequestId) {
         self.waiting.retain(|&waiting| waiting != request_id);
         let Some(open) = self.open.remove(&request_id) else {
             return;
         };
-        let writer = match open.stage {
+        let decode_engine = match open.stage {
             Stage::Waiting => return,
-            Stage::Reserving { writer } => writer,
-            Stage::Reading { reader, writer, .. } => {
-                self.engines[reader].end_reading(open.demand.prompt_tokens);
-                self.engines[reader].instance.cancel(now_us);
-                writer
+            Stage::Reserving { decode_engine } => decode_engine,
+            Stage::Prefilling { prefill_engine, decode_engine, .. } => {
+                self.engines[prefill_engine].remove_prefill(open.demand.prompt_tokens);
+                self.engines[prefill_engine].instance.cancel(now_us);
+                decode_engine
             }
-            Stage::Writing { writer, reads, .. } => {
-                self.engines[writer].end_reading(reads);
-                writer
+            Stage::Decoding { decode_engine, own_prefill_tokens, .. } => {
+                self.engines[decode_engine].remove_prefill(own_prefill_tokens);
+                decode_engine
             }
         };
-        self.engines[writer].release(request_id);
-        self.engines[writer].instance.cancel(now_us);
+        self.engines[decode_engine].release(request_id);
+        self.engines[decode_engine].instance.cancel(now_us);
     }
 
     pub(super) fn finished(&mut self, now_us: MonoTime, request_id: RequestId, events: u64) {
@@ -232,29 +234,29 @@
             return;
         };
         self.counters.answered += 1;
-        if let Stage::Writing { writer, since_us, reads } = open.stage {
-            self.engines[writer].end_reading(reads);
+        if let Stage::Decoding { decode_engine, since_us, own_prefill_tokens } = open.stage {
+            self.engines[decode_engine].remove_prefill(own_prefill_tokens);
             let answer = Tokens(events * self.settings.event_tokens);
-            let expected = open.room.saturating_sub(open.demand.prompt_tokens);
-            self.fading.seen.note_answer(answer, expected, now_us.since(since_us));
-            self.engines[writer].release(request_id);
-            self.engines[writer].instance.finish(now_us.since(since_us));
+            let expected = open.final_tokens.saturating_sub(open.demand.prompt_tokens);
+            self.own_stats.stats.record_answer(answer, expected, now_us.since(since_us));
+            self.engines[decode_engine].release(request_id);
+            self.engines[decode_engine].instance.finish(now_us.since(since_us));
         }
     }
 }
 
-/// Told to a caller who is refused for want of any engine: one that restarts is back within seconds, and one that was set
-/// aside is tried again within two.
+/// Retry delay for callers refused because there is no engine: an engine that restarts is back within
+/// seconds, and one that was set aside is tried again within two.
 const RETRY_AFTER_MS: Millis = Millis(1_500);
 
-/// Spread of the time to come back, in hundredths of the time that an answer takes.
-const SPREAD_FROM: u64 = 50;
+/// Lower end of the spread of retry delays, in percent of the duration of an answer.
+const RETRY_SPREAD_MIN_PERCENT: u64 = 50;
 
-/// Width of that spread.
-const SPREAD_WIDTH: u64 = 100;
+/// Width of the spread.
+const RETRY_SPREAD_WIDTH_PERCENT: u64 = 100;
 
-/// Steps through the spread; without a common divisor with its width.
-const SPREAD_STEP: u64 = 37;
+/// Step through the spread; coprime to its width, so that successive requests cover all of it.
+const RETRY_SPREAD_STEP_PERCENT: u64 = 37;
 
-/// A whole, in hundredths.
-const WHOLE: u64 = 100;
+/// 100 %.
+const PERCENT: u64 = 100;
--- a/crates/core/src/relay/engines/engine.rs
+++ b/crates/core/src/relay/engines/engine.rs
@@ -1,128 +1,130 @@
-//! What one daemon knows of one engine.
+//! State of one engine as known by one daemon.
 
 use std::collections::HashMap;
 
-use super::events::{Holding, ListedEngine, Role};
+use super::events::{EngineUsage, ListedEngine, Role};
 use super::memory::{Growth, headroom, peak};
-use super::peers::{PeerIndex, Rank};
-use super::stats::Seen;
+use super::peers::{NodeHash, PeerIndex};
+use super::stats::WorkloadStats;
 use crate::ids::RequestId;
 use crate::sched::InstanceSettings;
 use crate::sched::instance::Instance;
 use crate::units::{Millis, MonoTime, Tokens};
 
-/// For how long an engine that refused for want of room gets nothing more. An answer takes longer than this to
-/// be written, and each refusal is paid for out of the retry budget.
-const FULL_MS: Millis = Millis(150);
+/// How long an engine that refused for lack of room gets no new requests. An answer takes longer than this to
+/// decode, and each refusal is charged to the retry budget.
+const FULL_BACKOFF_MS: Millis = Millis(150);
 
 #[derive(Clone, Debug)]
 pub(super) struct Engine {
-    /// Whether it lives, takes work and does well.
+    /// Liveness, drain state and health.
     pub(super) instance: Instance,
     pub(super) role: Role,
     /// Whether it is in the daemon's data centre.
-    pub(super) near: bool,
-    /// Prompt tokens that it reads for this daemon.
-    pub(super) reading: Tokens,
-    /// Memory that requests of this daemon take, and as of when.
+    pub(super) is_local: bool,
+    /// Prompt tokens that it is prefilling for this daemon.
+    pub(super) prefill_tokens: Tokens,
+    /// Memory taken by this daemon's requests, and as of when.
     held: HashMap<RequestId, (MonoTime, Growth)>,
-    /// What the other daemons have there.
-    others: Others,
-    /// For telling whose it is when several daemons want it.
-    pub(super) rank: Rank,
+    /// What the other daemons use of it.
+    peer_usage: PeerUsage,
+    /// Decides which daemon gets the engine when several want it.
+    pub(super) node_hash: NodeHash,
     full_until_us: MonoTime,
-    /// When a writer last read a prompt itself for this daemon: from and to.
-    pub(super) own_reading_us: Option<(MonoTime, MonoTime)>,
-    /// Until when it changes its role and takes nothing.
-    pub(super) changing_until_us: MonoTime,
-    /// When this daemon ordered it last.
-    pub(super) ordered_us: Option<MonoTime>,
+    /// When, as a decode engine, it last prefilled a prompt itself for this daemon: start and end.
+    pub(super) last_own_prefill_us: Option<(MonoTime, MonoTime)>,
+    /// Until when it changes its role and accepts no requests.
+    pub(super) role_change_until_us: MonoTime,
+    /// When this daemon last ordered it to change its role.
+    pub(super) last_ordered_us: Option<MonoTime>,
 }
 
 impl Engine {
     pub(super) fn new(settings: InstanceSettings, listed: ListedEngine) -> Self {
         Self {
             role: listed.role,
-            near: listed.near,
-            rank: Rank::of_engine(&listed.server),
+            is_local: listed.is_local,
+            node_hash: NodeHash::of_engine(&listed.server),
             instance: Instance::new(settings, listed.server, listed.slots, listed.leaving),
-            reading: Tokens::ZERO,
+            prefill_tokens: Tokens::ZERO,
             held: HashMap::new(),
-            others: Others::default(),
+            peer_usage: PeerUsage::default(),
             full_until_us: MonoTime::default(),
-            own_reading_us: None,
-            changing_until_us: MonoTime::default(),
-            ordered_us: None,
+            last_own_prefill_us: None,
+            role_change_until_us: MonoTime::default(),
+            last_ordered_us: None,
         }
     }
 
-    /// Adopts the list's view; of an engine that changes its role the list lags.
+    /// Applies an entry of the server list. The role is not taken while the engine changes it, since the list
+    /// lags behind.
     pub(super) fn relist(&mut self, now_us: MonoTime, listed: &ListedEngine) {
-        if !self.is_changing(now_us) {
+        if !self.is_changing_role(now_us) {
             self.role = listed.role;
         }
         self.instance.relist(listed.slots, listed.leaving);
     }
 
-    /// Takes what another daemon has here, in place of what it had; nothing when `holding` is absent.
-    pub(super) fn peer(&mut self, now_us: MonoTime, peer: PeerIndex, holding: Option<Holding>) {
-        self.others.replace(peer, holding.map(|holding| (now_us, holding)));
+    /// Replaces what another daemon uses of this engine; `None` clears it.
+    pub(super) fn set_peer_usage(&mut self, now_us: MonoTime, peer: PeerIndex, usage: Option<EngineUsage>) {
+        self.peer_usage.replace(peer, usage.map(|usage| (now_us, usage)));
     }
 
-    /// Memory of the requests of all daemons, one by one.
+    /// Memory of each request of all daemons.
     pub(super) fn growths(&self, now_us: MonoTime, tokens_per_ms: f64) -> impl Iterator<Item = Growth> {
         let own = self.held.values().copied();
-        own.chain(self.others.growths())
+        own.chain(self.peer_usage.growths())
             .map(move |(as_of_us, growth)| growth.after(now_us.since(as_of_us), tokens_per_ms))
     }
 
-    /// Most memory that the requests of all daemons may take, with one more if there is one: what is expected, and what is
-    /// kept free for answers that grow longer.
-    pub(super) fn peak(&self, now_us: MonoTime, usual: &Seen, more: Option<Growth>) -> Tokens {
-        let growths: Vec<Growth> = self.growths(now_us, usual.pace()).chain(more).collect();
-        peak(growths.iter().copied()) + headroom(growths.into_iter(), usual.spread())
+    /// Largest memory that the requests of all daemons may take, including `more` if given: the expected peak
+    /// plus headroom for answers that grow longer.
+    pub(super) fn peak(&self, now_us: MonoTime, stats: &WorkloadStats, more: Option<Growth>) -> Tokens {
+        let growths: Vec<Growth> = self.growths(now_us, stats.decode_rate()).chain(more).collect();
+        peak(growths.iter().copied()) + headroom(growths.into_iter(), stats.relative_error())
     }
 
     /// Memory that the requests of all daemons will have taken when they end.
-    pub(super) fn room(&self) -> Tokens {
-        self.held.values().fold(self.others.load.room, |sum, (_, growth)| sum + growth.end)
+    pub(super) fn final_tokens(&self) -> Tokens {
+        self.held.values().fold(self.peer_usage.load.final_tokens, |sum, (_, growth)| sum + growth.end)
     }
 
-    /// Prompt tokens that it reads for all daemons.
-    pub(super) fn reading_all(&self) -> Tokens {
-        self.reading + self.others.load.reading
+    /// Prompt tokens that it is prefilling for all daemons.
+    pub(super) fn prefill_backlog(&self) -> Tokens {
+        self.prefill_tokens + self.peer_usage.load.prefill_tokens
     }
 
-    /// Requests of all daemons.
+    /// Number of running requests of all daemons.
     pub(super) fn running(&self) -> u32 {
-        self.instance.in_flight() + self.others.load.running
+        self.instance.in_flight() + self.peer_usage.load.running
     }
 
-    /// Whether it can be given answers to write. One that was set aside can as soon as it may be tried again: with all
-    /// of them set aside nobody would be let in who could show that they are back.
-    pub(super) fn is_writer(&self, now_us: MonoTime) -> bool {
+    /// Whether it accepts requests to decode. An engine that was set aside does as soon as it may be tried
+    /// again: if all of them are set aside, requests still have to be admitted to find out that they are
+    /// back.
+    pub(super) fn accepts_decodes(&self, now_us: MonoTime) -> bool {
         self.role == Role::Decode
             && self.instance.is_listed_live(now_us)
-            && !self.is_changing(now_us)
+            && !self.is_changing_role(now_us)
             && (!self.instance.is_ejected() || self.instance.is_probe_due(now_us, true))
     }
 
-    /// Whether it takes work and has a slot free.
+    /// Whether it accepts requests and has a free slot.
     pub(super) fn has_slot(&self, now_us: MonoTime) -> bool {
-        !self.is_changing(now_us)
+        !self.is_changing_role(now_us)
             && self.instance.has_room(now_us)
             && self.running() < self.instance.limit(now_us)
     }
 
-    /// What this daemon has here, if anything.
-    pub(super) fn holding(&self, now_us: MonoTime, tokens_per_ms: f64) -> Option<Holding> {
+    /// What this daemon uses of it; `None` if nothing.
+    pub(super) fn usage(&self, now_us: MonoTime, tokens_per_ms: f64) -> Option<EngineUsage> {
         let running = self.instance.in_flight();
         let grown =
             |(as_of_us, growth): &(MonoTime, Growth)| growth.after(now_us.since(*as_of_us), tokens_per_ms);
-        (running > 0 || !self.held.is_empty() || self.reading > Tokens::ZERO).then(|| Holding {
+        (running > 0 || !self.held.is_empty() || self.prefill_tokens > Tokens::ZERO).then(|| EngineUsage {
             server: self.instance.server().clone(),
             growths: self.held.values().map(grown).collect(),
-            reading: self.reading,
+            prefill_tokens: self.prefill_tokens,
             running,
         })
     }
@@ -135,97 +137,98 @@
         self.held.remove(&request_id);
     }
 
-    /// An answer begins: its memory grows from now on.
-    pub(super) fn grows(&mut self, now_us: MonoTime, request_id: RequestId) {
-        if let Some((as_of_us, growth)) = self.held.get_mut(&request_id).filter(|(_, growth)| !growth.grows) {
+    /// The answer begins: its memory grows from now on.
+    pub(super) fn start_growth(&mut self, now_us: MonoTime, request_id: RequestId) {
+        if let Some((as_of_us, growth)) =
+            self.held.get_mut(&request_id).filter(|(_, growth)| !growth.is_growing)
+        {
             *as_of_us = now_us;
-            growth.grows = true;
+            growth.is_growing = true;
         }
     }
 
-    /// An answer has grown to this.
-    pub(super) fn written(&mut self, now_us: MonoTime, request_id: RequestId, now: Tokens) {
+    /// The answer has grown to `now` tokens.
+    pub(super) fn set_memory(&mut self, now_us: MonoTime, request_id: RequestId, now: Tokens) {
         if let Some((as_of_us, growth)) = self.held.get_mut(&request_id) {
             *as_of_us = now_us;
-            *growth = Growth { now, grows: true, ..*growth };
+            *growth = Growth { now, is_growing: true, ..*growth };
         }
     }
 
-    pub(super) fn begin_reading(&mut self, tokens: Tokens) {
-        self.reading += tokens;
+    pub(super) fn add_prefill(&mut self, tokens: Tokens) {
+        self.prefill_tokens += tokens;
     }
 
-    pub(super) fn end_reading(&mut self, tokens: Tokens) {
-        self.reading = self.reading.saturating_sub(tokens);
+    pub(super) fn remove_prefill(&mut self, tokens: Tokens) {
+        self.prefill_tokens = self.prefill_tokens.saturating_sub(tokens);
     }
 
-    pub(super) fn refused(&mut self, now_us: MonoTime) {
-        self.full_until_us = now_us + FULL_MS;
+    pub(super) fn mark_full(&mut self, now_us: MonoTime) {
+        self.full_until_us = now_us + FULL_BACKOFF_MS;
     }
 
-    /// It changes its role.
-    pub(super) fn changes(&mut self, until_us: MonoTime, role: Role) {
-        self.changing_until_us = until_us;
+    /// Marks it as changing to `role` until `until_us`.
+    pub(super) fn start_role_change(&mut self, until_us: MonoTime, role: Role) {
+        self.role_change_until_us = until_us;
         self.role = role;
     }
 
-    /// Whether it changes its role.
-    pub(super) fn is_changing(&self, now_us: MonoTime) -> bool {
-        now_us < self.changing_until_us
+    pub(super) fn is_changing_role(&self, now_us: MonoTime) -> bool {
+        now_us < self.role_change_until_us
     }
 
-    /// Whether it has refused for want of room just now.
+    /// Whether it has recently refused a request for lack of room.
     pub(super) fn is_full(&self, now_us: MonoTime) -> bool {
         now_us < self.full_until_us
     }
 }
 
-/// Sums over what the other daemons have at an engine.
+/// Totals of what the other daemons use of an engine.
 #[derive(Clone, Copy, Debug, Default)]
 struct Load {
     /// Memory when their requests end.
-    room: Tokens,
-    /// Prompt tokens that are read.
-    reading: Tokens,
+    final_tokens: Tokens,
+    /// Prompt tokens being prefilled.
+    prefill_tokens: Tokens,
     running: u32,
 }
 
 impl Load {
-    fn add(&mut self, holding: &Holding) {
-        self.room += holding.room();
-        self.reading += holding.reading;
-        self.running += holding.running;
+    fn add(&mut self, usage: &EngineUsage) {
+        self.final_tokens += usage.final_tokens();
+        self.prefill_tokens += usage.prefill_tokens;
+        self.running += usage.running;
     }
 
-    fn remove(&mut self, holding: &Holding) {
-        self.room -= holding.room();
-        self.reading -= holding.reading;
-        self.running = self.running.saturating_sub(holding.running);
+    fn remove(&mut self, usage: &EngineUsage) {
+        self.final_tokens -= usage.final_tokens();
+        self.prefill_tokens -= usage.prefill_tokens;
+        self.running = self.running.saturating_sub(usage.running);
     }
 }
 
-/// What the other daemons have at one engine, and when they told.
+/// What the other daemons use of one engine, and when each reported it.
 #[derive(Clone, Debug, Default)]
-struct Others {
-    list: Vec<(PeerIndex, MonoTime, Holding)>,
+struct PeerUsage {
+    list: Vec<(PeerIndex, MonoTime, EngineUsage)>,
     load: Load,
 }
 
-impl Others {
-    fn replace(&mut self, peer: PeerIndex, told: Option<(MonoTime, Holding)>) {
+impl PeerUsage {
+    fn replace(&mut self, peer: PeerIndex, reported: Option<(MonoTime, EngineUsage)>) {
         if let Some(position) = self.list.iter().position(|(known, ..)| *known == peer) {
             let (_, _, before) = self.list.swap_remove(position);
             self.load.remove(&before);
         }
-        if let Some((told_us, holding)) = told {
-            self.load.add(&holding);
-            self.list.push((peer, told_us, holding));
+        if let Some((reported_us, usage)) = reported {
+            self.load.add(&usage);
+            self.list.push((peer, reported_us, usage));
         }
     }
 
     fn growths(&self) -> impl Iterator<Item = (MonoTime, Growth)> {
         self.list
             .iter()
-            .flat_map(|(_, told_us, holding)| holding.growths.iter().map(|growth| (*told_us, *growth)))
+            .flat_map(|(_, reported_us, usage)| usage.growths.iter().map(|growth| (*reported_us, *growth)))
     }
 }
--- a/crates/core/src/relay/engines/events.rs
+++ b/crates/core/src/relay/engines/events.rs
@@ -1,202 +1,203 @@
-//! What the pool of engines is told and what it wants done.
+//! Events that the engine pool takes, and the actions that it asks for.
 
 use serde::{Deserialize, Serialize};
 
 use super::memory::Growth;
-use super::stats::Seen;
+use super::stats::WorkloadStats;
 use crate::allowance::Ask;
 use crate::ids::{BackendServerId, HostId, RequestId};
 use crate::outcome::Repeatability;
 use crate::sched::{FailureCause, LimitReached};
 use crate::units::{Credit, Micros, Millis, MonoTime, Tokens};
 
-/// What an engine does.
+/// Role of an engine.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Deserialize, Serialize)]
 pub enum Role {
-    /// Reads prompts.
+    /// Prefills prompts.
     Prefill,
-    /// Writes answers; can read prompts as well, slowly.
+    /// Decodes answers; can prefill prompts as well, but slowly.
     Decode,
 }
 
-/// An engine as the platform lists it.
+/// An engine as listed by the platform.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ListedEngine {
-    /// Its name.
+    /// Name of the engine.
     pub server: BackendServerId,
-    /// What it does.
+    /// Its role.
     pub role: Role,
-    /// Requests that run at once.
+    /// Number of requests that it runs at once.
     pub slots: u32,
     /// Whether the list shows it as leaving.
     pub leaving: bool,
     /// Whether it is in the daemon's data centre.
-    pub near: bool,
+    pub is_local: bool,
 }
 
 /// A request for a model.
 #[derive(Clone, Debug)]
 pub struct Demand {
-    /// Its id.
+    /// Id of the request.
     pub request_id: RequestId,
-    /// Length of its prompt, as its caller says.
+    /// Length of the prompt as stated by the caller.
     pub prompt_tokens: Tokens,
-    /// Longest answer that its caller allows.
+    /// Longest answer that the caller allows.
     pub answer_tokens_max: Tokens,
-    /// Length of the answer that its caller expects.
+    /// Expected length of the answer as stated by the caller; absent if it states none.
     pub answer_tokens_hint: Option<Tokens>,
     /// Whether it may run more than once.
     pub repeatability: Repeatability,
-    /// Servers that may run it at most.
+    /// Largest number of servers that may run it.
     pub attempts_max: u32,
-    /// Time within which its first event is in time.
+    /// Time to the first event within which the answer counts as in time.
     pub target_ms: Millis,
-    /// How long its caller has waited already, with earlier tries.
+    /// How long the caller has waited already in earlier attempts.
     pub waited_ms: Millis,
-    /// Longest pause between events with which its answer is in time.
+    /// Longest pause between events with which the answer counts as in time; absent if there is no limit.
     pub gap_target_ms: Option<Millis>,
     /// Longest time that it may wait for an engine.
-    pub patience_ms: Millis,
-    /// Rank; smaller goes first.
+    pub max_wait_ms: Millis,
+    /// Priority; smaller values go first.
     pub priority: u8,
 }
 
-/// Load that an engine told in an answer.
+/// Load that an engine reports with an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct ToldLoad {
-    /// Requests that run there.
+pub struct ReportedLoad {
+    /// Requests running at the engine.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests queued at the engine.
     pub waiting: u32,
-    /// Requests that run at once.
+    /// Number of requests that it runs at once.
     pub slots: u32,
 }
 
-/// What one daemon has at one engine.
+/// What one daemon uses of one engine.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct Holding {
-    /// The engine.
+pub struct EngineUsage {
+    /// Name of the engine.
     pub server: BackendServerId,
-    /// Memory that its requests take there, one by one.
+    /// Memory of each of its requests there.
     pub growths: Vec<Growth>,
-    /// Prompt tokens that are read there for it.
-    pub reading: Tokens,
-    /// Requests that it has there.
+    /// Prompt tokens being prefilled there for it.
+    pub prefill_tokens: Tokens,
+    /// Number of its requests running there.
     pub running: u32,
 }
 
-impl Holding {
-    /// Memory that its requests take there when they end.
-    pub(super) fn room(&self) -> Tokens {
+impl EngineUsage {
+    /// Memory that its requests will take there when they end.
+    pub(super) fn final_tokens(&self) -> Tokens {
         self.growths.iter().fold(Tokens::ZERO, |sum, growth| sum + growth.end)
     }
 }
 
-/// What one daemon has at the engines of a service.
+/// What one daemon uses of the engines of a service.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Holdings {
-    /// Memory that its waiting requests will take.
+pub struct PoolUsage {
+    /// Memory that its queued requests will take.
     pub waiting: Tokens,
-    /// What its requests were like lately; absent where that is what it told before.
-    pub seen: Option<Seen>,
-    /// Engines that it has ordered to change their role, to which, and for how much longer they change.
-    pub changing: Vec<(BackendServerId, Role, Micros)>,
-    /// What it has, engine by engine.
-    pub engines: Vec<Holding>,
+    /// Statistics of its recent requests; absent if unchanged since its previous message.
+    pub stats: Option<WorkloadStats>,
+    /// Engines that it has ordered to change their role: the new role and the time left until the change
+    /// ends.
+    pub role_changes: Vec<(BackendServerId, Role, Micros)>,
+    /// What it uses of each engine.
+    pub engines: Vec<EngineUsage>,
 }
 
-impl Holdings {
-    /// Of a daemon that is gone.
-    pub fn of_nobody() -> Self {
-        Self { seen: Some(Seen::default()), ..Self::default() }
+impl PoolUsage {
+    /// Usage of a daemon that is gone.
+    pub fn cleared() -> Self {
+        Self { stats: Some(WorkloadStats::default()), ..Self::default() }
     }
 }
 
-/// Something the pool has to know.
+/// Input of the engine pool.
 #[derive(Clone, Debug)]
 pub enum EngineEvent {
-    /// A request came in.
-    Arrive(Demand),
-    /// An engine keeps a slot and memory for the request.
+    /// A request arrived.
+    Arrived(Demand),
+    /// An engine has reserved a slot and memory for the request.
     Reserved {
-        /// Which request.
+        /// The request.
         request_id: RequestId,
     },
-    /// It does not.
+    /// The engine has refused the reservation, or did not answer.
     ReserveFailed {
-        /// Which request.
+        /// The request.
         request_id: RequestId,
-        /// Why.
+        /// Cause of the failure.
         cause: FailureCause,
     },
-    /// The prompt was read; the KV cache waits to be fetched.
-    PromptRead {
-        /// Which request.
+    /// The prompt was prefilled; the KV cache is held until it is fetched.
+    Prefilled {
+        /// The request.
         request_id: RequestId,
     },
-    /// Reading the prompt failed.
-    ReadFailed {
-        /// Which request.
+    /// Prefilling the prompt failed.
+    PrefillFailed {
+        /// The request.
         request_id: RequestId,
-        /// Why.
+        /// Cause of the failure.
         cause: FailureCause,
     },
     /// The first event of the answer arrived.
     Started {
-        /// Which request.
+        /// The request.
         request_id: RequestId,
     },
     /// More events of the answer arrived.
     Progress {
-        /// Which request.
+        /// The request.
         request_id: RequestId,
-        /// Events that its answer has by now.
+        /// Number of events that have arrived in total.
         events: u64,
-        /// Longest pause between them since this was told last.
+        /// Longest pause between events since the previous report.
         longest_pause_ms: Millis,
     },
-    /// Writing the answer failed.
-    WriteFailed {
-        /// Which request.
+    /// Decoding the answer failed.
+    DecodeFailed {
+        /// The request.
         request_id: RequestId,
-        /// Why. `NotSent`, `NoRoom` and `Leaving` prove that it did not run.
+        /// Cause of the failure. `NotSent`, `NoRoom` and `Leaving` prove that the request did not run.
         cause: FailureCause,
     },
     /// The answer is complete.
     Finished {
-        /// Which request.
+        /// The request.
         request_id: RequestId,
-        /// Events that it took.
+        /// Total number of events.
         events: u64,
     },
     /// The caller closed its connection, or its time is over.
     CallerLeft {
-        /// Which request.
+        /// The request.
         request_id: RequestId,
     },
-    /// The engines, all of them.
+    /// Complete list of the engines.
     Engines(Vec<ListedEngine>),
-    /// What another daemon has at the engines, all of it; nothing once it is gone.
+    /// Complete usage of another daemon; empty once it is gone.
     Peer {
-        /// The daemon's host.
+        /// Host of the daemon.
         host: HostId,
-        /// What it has.
-        holdings: Holdings,
+        /// Its usage.
+        usage: PoolUsage,
     },
-    /// The limit that an engine states is used up.
+    /// The limit stated by an engine is used up.
     Limited {
-        /// Which engine.
+        /// Name of the engine.
         server: BackendServerId,
-        /// The limit, and for how long.
+        /// The limit, and for how long it applies.
         reached: LimitReached,
     },
-    /// Another daemon answered a question for a loan.
+    /// Another daemon answered a request for retry credit.
     Lent {
-        /// The question.
+        /// Number of the request for credit.
         number: u64,
-        /// What it lends.
+        /// Credit lent.
         credit: Credit,
-        /// What it has left.
+        /// Credit that the lender has left.
         spare: Credit,
     },
     /// Time passed.
@@ -206,67 +207,67 @@
 /// Why a request was refused; it did not run.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum EngineRefusal {
-    /// It would wait longer than its patience.
+    /// It would wait too long.
     WouldWaitTooLong,
-    /// No engine takes requests.
+    /// No engine accepts requests.
     NoEngine,
-    /// Its attempts or the service's retries are used up; no attempt ran.
-    RetriesSpent,
+    /// The attempts of the request or the retry budget of the service are used up; no attempt ran.
+    RetriesExhausted,
 }
 
-/// Something the pool wants done.
+/// Output of the engine pool.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum EngineAction {
-    /// Have a slot and memory kept for the request.
+    /// Reserve a slot and memory for the request.
     Reserve {
-        /// Which request.
+        /// The request.
         request_id: RequestId,
-        /// Where.
-        writer: BackendServerId,
-        /// Memory for prompt and answer.
+        /// Engine that decodes the answer.
+        decode_engine: BackendServerId,
+        /// Memory for the prompt and the first part of the answer.
         tokens: Tokens,
-        /// For how long.
+        /// How long the engine keeps the reservation.
         keep_ms: Millis,
-        /// Report `ReserveFailed` with `Timeout` after this.
+        /// Time after which to report `ReserveFailed` with `Timeout`.
         timeout_ms: Millis,
     },
-    /// Have the prompt read, for `writer` to fetch.
-    Read {
-        /// Which request.
+    /// Prefill the prompt, to be fetched by the decode engine.
+    Prefill {
+        /// The request.
         request_id: RequestId,
-        /// Where.
-        reader: BackendServerId,
-        /// Report `ReadFailed` with `Timeout` after this.
+        /// Engine that prefills the prompt.
+        prefill_engine: BackendServerId,
+        /// Time after which to report `PrefillFailed` with `Timeout`.
         timeout_ms: Millis,
     },
-    /// Have the answer written.
-    Write {
-        /// Which request.
+    /// Decode the answer.
+    Decode {
+        /// The request.
         request_id: RequestId,
-        /// Where.
-        writer: BackendServerId,
-        /// The engine whose KV cache it fetches; absent where it reads the prompt itself.
-        reader: Option<BackendServerId>,
+        /// Engine that decodes the answer.
+        decode_engine: BackendServerId,
+        /// Engine that holds the KV cache to fetch; absent if the decode engine prefills the prompt itself.
+        prefill_engine: Option<BackendServerId>,
     },
-    /// Tell the caller that it did not run.
+    /// Tell the caller that the request did not run.
     Refuse {
-        /// Which request.
+        /// The request.
         request_id: RequestId,
-        /// Why.
+        /// Reason for the refusal.
         reason: EngineRefusal,
-        /// When another try is worth making.
+        /// When a retry is worthwhile.
         retry_after_ms: Millis,
     },
-    /// Tell the caller that it is not known whether it ran.
+    /// Tell the caller that it is not known whether the request ran.
     Unknown {
-        /// Which request.
+        /// The request.
         request_id: RequestId,
     },
-    /// Ask another daemon for a loan.
+    /// Ask another daemon for retry credit.
     Borrow(Ask),
-    /// Send `EngineEvent::Tick` at this time.
+    /// Send `EngineEvent::Tick` at the given time.
     Wake {
-        /// When.
+        /// When to send it.
         at_us: MonoTime,
     },
 }
@@ -274,16 +275,16 @@
 /// Counters of one pool.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct EngineCounters {
-    /// Requests that came in.
+    /// Requests that arrived.
     pub arrivals: u64,
     /// Requests answered.
     pub answered: u64,
     /// Requests refused.
     pub refused: u64,
-    /// Requests of which it is not known whether they ran.
+    /// Requests for which it is not known whether they ran.
     pub unknown: u64,
-    /// Further prompts read and further tries at writing.
+    /// Further prefills and further decode attempts.
     pub retries: u64,
-    /// Further tries denied by the budget.
+    /// Retries denied by the retry budget.
     pub retries_denied: u64,
 }
--- a/crates/core/src/relay/engines/mod.rs
+++ b/crates/core/src/relay/engines/mod.rs
@@ -1,8 +1,8 @@
-//! Placing requests for a model on engines that read prompts and engines that write answers.
+//! Placement of model requests on prefill engines and decode engines.
 //!
-//! Each daemon places the requests that it took in, with what the others say of theirs. A place to write is reserved
-//! before the prompt is read: a KV cache that finds no writer within half a second is lost, and the reading was in
-//! vain.
+//! Each daemon places the requests that it accepted, taking into account what the other daemons report of
+//! theirs. Memory on a decode engine is reserved before the prompt is prefilled: a KV cache that is not
+//! fetched within half a second is lost, and the prefill was wasted.
 
 mod admission;
 mod completion;
@@ -27,125 +27,124 @@
 
 use engine::Engine;
 pub use events::{
-    Demand, EngineAction, EngineCounters, EngineEvent, EngineRefusal, Holding, Holdings, ListedEngine, Role,
-    ToldLoad,
+    Demand, EngineAction, EngineCounters, EngineEvent, EngineRefusal, EngineUsage, ListedEngine, PoolUsage,
+    ReportedLoad, Role,
 };
 pub use memory::{Growth, headroom, peak};
-use open_request::Open;
-use peers::{Peers, Rank};
-pub use role_balance::Shift;
-use role_balance::SplitState;
+use open_request::OpenRequest;
+use peers::{NodeHash, Peers};
+use role_balance::RoleBalance;
+pub use role_balance::RoleChange;
 pub use settings::EnginePoolSettings;
-use stats::Fading;
-pub use stats::Seen;
+use stats::DecayingStats;
+pub use stats::WorkloadStats;
 
-/// Places the requests of one daemon for one service of engines.
+/// Places one daemon's requests for one service of engines.
 #[derive(Debug)]
 pub struct EnginePool {
     settings: EnginePoolSettings,
-    /// This daemon's, for telling whose an engine is when several want it.
-    rank: Rank,
+    /// Hash of this daemon, which decides who gets an engine that several daemons want.
+    node_hash: NodeHash,
     engines: Vec<Engine>,
-    names: HashMap<BackendServerId, usize>,
-    open: HashMap<RequestId, Open>,
+    index_by_name: HashMap<BackendServerId, usize>,
+    open: HashMap<RequestId, OpenRequest>,
     waiting: Vec<RequestId>,
     budget: Allowance,
     counters: EngineCounters,
     wake_us: Option<MonoTime>,
-    /// What requests were like lately, here.
-    fading: Fading,
-    /// The same at all daemons.
-    usual: Seen,
-    /// The other daemons.
+    /// Statistics of this daemon's recent requests.
+    own_stats: DecayingStats,
+    /// Statistics over all daemons.
+    fleet_stats: WorkloadStats,
     peers: Peers,
-    /// What is known for judging how many engines read and write.
-    split: SplitState,
-    /// Where the look for an engine begins, so that equals are taken in turn.
-    turn: usize,
+    /// State for judging the split between prefill and decode engines.
+    role_balance: RoleBalance,
+    /// Start position of the search for an engine, so that equal engines are used in turn.
+    rotation: usize,
 }
 
 impl EnginePool {
-    /// A pool that knows no engines yet.
-    pub fn new(settings: EnginePoolSettings, host: &HostId, turn: usize) -> Self {
+    /// A pool without engines.
+    pub fn new(settings: EnginePoolSettings, host: &HostId, rotation: usize) -> Self {
         Self {
             settings,
-            rank: Rank::of(host),
+            node_hash: NodeHash::of(host),
             engines: Vec::new(),
-            names: HashMap::new(),
+            index_by_name: HashMap::new(),
             open: HashMap::new(),
             waiting: Vec::new(),
-            budget: Allowance::new(settings.retries, turn as u64),
+            budget: Allowance::new(settings.retries, rotation as u64),
             counters: EngineCounters::default(),
             wake_us: None,
-            fading: Fading::default(),
-            usual: Seen::default(),
+            own_stats: DecayingStats::default(),
+            fleet_stats: WorkloadStats::default(),
             peers: Peers::default(),
-            split: SplitState::default(),
-            turn,
+            role_balance: RoleBalance::default(),
+            rotation,
         }
     }
 
-    /// What it decided so far.
+    /// Counters of the decisions made so far.
     pub fn counters(&self) -> &EngineCounters {
         &self.counters
     }
 
-    /// What this daemon has at the engines, for the other daemons to know.
-    pub fn holdings(&self, now_us: MonoTime) -> Holdings {
-        Holdings {
-            waiting: self.waiting_room(now_us),
-            seen: Some(self.fading.seen),
-            changing: self.changing(now_us),
+    /// What this daemon uses of the engines, to be sent to the other daemons.
+    pub fn usage(&self, now_us: MonoTime) -> PoolUsage {
+        PoolUsage {
+            waiting: self.waiting_tokens(now_us),
+            stats: Some(self.own_stats.stats),
+            role_changes: self.role_changes(now_us),
             engines: self
                 .engines
                 .iter()
-                .filter_map(|engine| engine.holding(now_us, self.usual.pace()))
+                .filter_map(|engine| engine.usage(now_us, self.fleet_stats.decode_rate()))
                 .collect(),
         }
     }
 
-    /// Changes the limits; what was decided stays.
+    /// Replaces the settings; earlier decisions stand.
     pub fn configure(&mut self, settings: EnginePoolSettings) {
         self.budget.configure(settings.retries);
         self.settings = settings;
     }
 
-    /// What this daemon may spend on further tries.
+    /// Budget of this daemon for retries.
     pub fn allowance(&mut self) -> &mut Allowance {
         &mut self.budget
     }
 
-    /// Takes an event and pushes what is to be done.
+    /// Handles an event and appends the resulting actions.
     pub fn handle(&mut self, now_us: MonoTime, event: EngineEvent, actions: &mut Vec<EngineAction>) {
         if !matches!(event, EngineEvent::Peer { .. }) {
-            self.look_back(now_us);
+            self.refresh_stats(now_us);
         }
         match event {
-            EngineEvent::Arrive(demand) => self.arrive(now_us, demand, actions),
+            EngineEvent::Arrived(demand) => self.arrive(now_us, demand, actions),
             EngineEvent::Reserved { request_id } => self.reserved(now_us, request_id, actions),
             EngineEvent::ReserveFailed { request_id, cause } => {
                 self.reserve_failed(now_us, request_id, cause, actions);
             }
-            EngineEvent::PromptRead { request_id } => self.prompt_read(now_us, request_id, actions),
-            EngineEvent::ReadFailed { request_id, cause } => {
-                self.read_failed(now_us, request_id, cause, actions);
+            EngineEvent::Prefilled { request_id } => self.prompt_prefilled(now_us, request_id, actions),
+            EngineEvent::PrefillFailed { request_id, cause } => {
+                self.prefill_failed(now_us, request_id, cause, actions);
             }
             EngineEvent::Started { request_id } => self.started(now_us, request_id),
             EngineEvent::Progress { request_id, events, longest_pause_ms } => {
                 self.progress(now_us, request_id, events, longest_pause_ms);
             }
-            EngineEvent::WriteFailed { request_id, cause } => {
-                self.write_failed(now_us, request_id, cause, actions);
+            EngineEvent::DecodeFailed { request_id, cause } => {
+                self.decode_failed(now_us, request_id, cause, actions);
             }
             EngineEvent::Finished { request_id, events } => {
                 self.finished(now_us, request_id, events);
             }
             EngineEvent::CallerLeft { request_id } => self.close(now_us, request_id),
-            EngineEvent::Engines(list) => self.adopt(now_us, list),
-            EngineEvent::Peer { host, holdings } => self.hear(now_us, host, holdings),
+            EngineEvent::Engines(list) => self.update_engines(now_us, list),
+            EngineEvent::Peer { host, usage } => self.update_peer(now_us, host, usage),
             EngineEvent::Lent { number, credit, spare } => self.budget.lent(now_us, number, credit, spare),
             EngineEvent::Limited { server, reached } => {
-                if let Some(&index) = self.names.get(&server) {
+                if let Some(&index) = self.index_by_name.get(&server) {
                     self.engines[index].instance.limited(now_us, reached);
                 }
             }
@@ -154,62 +153,63 @@
         if self.waiting.is_empty() {
             return;
         }
-        self.look_back(now_us);
-        self.pay(now_us, actions);
-        self.serve(now_us, actions);
-        self.expire(now_us, actions);
-        self.wake(now_us, actions);
+        self.refresh_stats(now_us);
+        self.pay_retries(now_us, actions);
+        self.place_waiting(now_us, actions);
+        self.refuse_expired(now_us, actions);
+        self.schedule_wake(now_us, actions);
     }
 
-    /// Takes what another daemon has at the engines.
-    fn hear(&mut self, now_us: MonoTime, host: HostId, holdings: Holdings) {
+    /// Applies the reported usage of another daemon.
+    fn update_peer(&mut self, now_us: MonoTime, host: HostId, usage: PoolUsage) {
         let peer = self.peers.index_of(host);
-        self.peers.tell(peer, holdings.waiting, holdings.seen);
-        let mut at = Vec::with_capacity(holdings.engines.len());
-        for holding in holdings.engines {
-            if let Some(&index) = self.names.get(&holding.server) {
-                self.engines[index].peer(now_us, peer, Some(holding));
-                at.push(index);
+        self.peers.update(peer, usage.waiting, usage.stats);
+        let mut indices = Vec::with_capacity(usage.engines.len());
+        for engine_usage in usage.engines {
+            if let Some(&index) = self.index_by_name.get(&engine_usage.server) {
+                self.engines[index].set_peer_usage(now_us, peer, Some(engine_usage));
+                indices.push(index);
             }
         }
         for &index in self.peers.engines(peer) {
-            if !at.contains(&index) {
-                self.engines[index].peer(now_us, peer, None);
+            if !indices.contains(&index) {
+                self.engines[index].set_peer_usage(now_us, peer, None);
             }
         }
-        self.peers.set_engines(peer, at);
-        for (server, role, left_us) in holdings.changing {
-            if let Some(&index) = self.names.get(&server) {
-                self.engines[index].changes(now_us + left_us, role);
+        self.peers.set_engines(peer, indices);
+        for (server, role, left_us) in usage.role_changes {
+            if let Some(&index) = self.index_by_name.get(&server) {
+                self.engines[index].start_role_change(now_us + left_us, role);
             }
         }
     }
 
-    /// Takes stock of what requests were like lately, here and at the other daemons.
-    fn look_back(&mut self, now_us: MonoTime) {
-        self.fading.pass(now_us);
-        self.usual = self.fading.seen.and(self.peers.seen());
+    /// Updates the statistics of recent requests, own and fleet-wide.
+    fn refresh_stats(&mut self, now_us: MonoTime) {
+        self.own_stats.decay(now_us);
+        self.fleet_stats = self.own_stats.stats.and(self.peers.stats());
     }
 
-    /// Time for which a request usually has memory at a writer.
-    fn usual_hold_us(&self) -> f64 {
-        self.usual.held_us().unwrap_or(FIRST_HOLD_US)
+    /// Time for which a request typically holds memory on a decode engine.
+    fn typical_hold_us(&self) -> f64 {
+        self.fleet_stats.held_us().unwrap_or(INITIAL_HOLD_US)
     }
 
-    fn adopt(&mut self, now_us: MonoTime, list: Vec<ListedEngine>) {
+    fn update_engines(&mut self, now_us: MonoTime, list: Vec<ListedEngine>) {
         for engine in &mut self.engines {
             engine.instance.unlist();
         }
         for listed in list {
-            if let Some(&index) = self.names.get(&listed.server) {
+            if let Some(&index) = self.index_by_name.get(&listed.server) {
                 self.engines[index].relist(now_us, &listed);
             } else {
-                self.names.insert(listed.server.clone(), self.engines.len());
+                self.index_by_name.insert(listed.server.clone(), self.engines.len());
                 self.engines.push(Engine::new(self.settings.instance, listed));
             }
         }
     }
 }
 
-/// Time for which a request keeps its memory, until any was seen: some thousand tokens at the usual pace.
-const FIRST_HOLD_US: f64 = 3_000_000.0;
+/// Time for which a request holds memory, until one was observed: some thousand tokens at the typical decode
+/// rate.
+const INITIAL_HOLD_US: f64 = 3_000_000.0;
--- a/crates/core/src/relay/engines/open_request.rs
+++ b/crates/core/src/relay/engines/open_request.rs
@@ -5,91 +5,97 @@
 use crate::outcome::Attempts;
 use crate::units::{Millis, MonoTime, Tokens};
 
-/// Where a request stands.
+/// Stage of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Stage {
     Waiting,
-    /// A writer is asked to keep room.
+    /// A decode engine was asked for a reservation.
     Reserving {
-        writer: usize,
+        decode_engine: usize,
     },
-    Reading {
-        reader: usize,
-        writer: usize,
+    Prefilling {
+        prefill_engine: usize,
+        decode_engine: usize,
         since_us: MonoTime,
-        /// Prompt tokens that the reader had to read by then, with its own.
+        /// Backlog of the prefill engine when the request was added, in prompt tokens including its own.
         ahead: Tokens,
     },
-    Writing {
-        writer: usize,
+    Decoding {
+        decode_engine: usize,
         since_us: MonoTime,
-        /// Prompt tokens that the writer reads itself before it begins.
-        reads: Tokens,
+        /// Prompt tokens that the decode engine prefills itself before it decodes.
+        own_prefill_tokens: Tokens,
     },
 }
 
-/// Whether a request's next try was paid for. The first is free.
+/// Whether the next attempt was paid for from the retry budget. The first one is free.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Payment {
-    /// It need not be, or has not been asked for.
+    /// Payment is not needed, or has not been requested.
     None,
-    /// It waits for a loan.
+    /// Waiting for credit from another daemon.
     Awaited {
         until_us: MonoTime,
     },
     Paid,
 }
 
-impl Open {
-    /// Whether its next try has to be paid for.
-    pub(super) fn owes(&self) -> bool {
-        self.tries.made() > 0 && self.payment != Payment::Paid
+impl OpenRequest {
+    /// Whether the next attempt has to be paid for.
+    pub(super) fn needs_payment(&self) -> bool {
+        self.attempts.made() > 0 && self.payment != Payment::Paid
     }
 
-    /// Whether its answer cannot be in time for its caller any more, with what is still to come before its first event.
+    /// Whether the answer can no longer be in time, given the time still needed before its first event.
     pub(super) fn is_late(&self, now_us: MonoTime, ahead_ms: Millis) -> bool {
         self.age_ms(now_us) + ahead_ms >= self.demand.target_ms
     }
 
-    /// How long its caller has waited, with earlier tries.
+    /// How long the caller has waited, earlier attempts included.
     pub(super) fn age_ms(&self, now_us: MonoTime) -> Millis {
         now_us.since(self.arrived_us).to_millis_ceil() + self.demand.waited_ms
     }
 
-    /// How long it waits for an engine. Whoever has waited for a whole target is late, and is served sooner when it comes
-    /// back after the burst: held for three targets, as long as callers stay, 0.02 of worth less in paired plays of one
-    /// deployment. A stream that broke off has no other try, and waits as long as its caller does.
-    pub(super) fn patience_ms(&self) -> Millis {
+    /// How long it waits for an engine. A caller that has waited for a whole target is late, and is served
+    /// sooner when it comes back after the burst: holding requests for three targets, as long as callers
+    /// stay, scored 0.02 lower in paired simulation runs of one deployment. An interrupted stream gets no
+    /// other attempt from its caller, so it waits as long as the caller does.
+    pub(super) fn max_wait_ms(&self) -> Millis {
         let demand = &self.demand;
-        if self.begun { demand.patience_ms } else { demand.patience_ms.min(demand.target_ms) }
+        if self.has_started { demand.max_wait_ms } else { demand.max_wait_ms.min(demand.target_ms) }
     }
 
-    /// Its memory at a writer before its answer begins.
+    /// Its memory on a decode engine before the answer begins.
     pub(super) fn growth(&self) -> Growth {
         let prompt = self.demand.prompt_tokens;
-        Growth { now: prompt, end: self.room, answer: self.room.saturating_sub(prompt), grows: false }
+        Growth {
+            now: prompt,
+            end: self.final_tokens,
+            answer: self.final_tokens.saturating_sub(prompt),
+            is_growing: false,
+        }
     }
 }
 
 #[derive(Clone, Debug)]
-pub(super) struct Open {
+pub(super) struct OpenRequest {
     pub(super) demand: Demand,
-    /// Memory for its prompt and its answer when it ends, as expected.
-    pub(super) room: Tokens,
+    /// Expected memory for prompt and answer when it ends.
+    pub(super) final_tokens: Tokens,
     pub(super) arrived_us: MonoTime,
-    /// Since when it waits for an engine, the last time.
+    /// Since when it waits for an engine, in the current attempt.
     pub(super) waits_since_us: MonoTime,
-    /// Whether its caller has got a part of the answer.
-    pub(super) begun: bool,
+    /// Whether the caller has received a part of the answer.
+    pub(super) has_started: bool,
     pub(super) stage: Stage,
-    pub(super) tries: Attempts,
-    /// Prompts that engines have read for it; the first is free of the budget, further ones are not.
-    pub(super) reads: u32,
-    /// The engine that read the prompt, and when, while the KV cache may still be there.
-    pub(super) read: Option<(usize, MonoTime)>,
+    pub(super) attempts: Attempts,
+    /// Number of completed prefills; the first is free, further ones are charged to the retry budget.
+    pub(super) prefills: u32,
+    /// Engine that prefilled the prompt, and when, as long as the KV cache may still be held.
+    pub(super) prefilled: Option<(usize, MonoTime)>,
     pub(super) failed_at: Option<usize>,
-    /// Whether its next try was paid for, and until when it waits for that.
+    /// Whether the next attempt was paid for, and until when it waits for credit.
     pub(super) payment: Payment,
-    /// How many events its answer had when that was last told, and when.
+    /// Number of events of the answer at the last progress report, and when that was.
     pub(super) progress: Option<(MonoTime, u64)>,
 }
--- a/crates/core/src/relay/engines/peers.rs
+++ b/crates/core/src/relay/engines/peers.rs
@@ -1,109 +1,115 @@
-//! What is known of the other daemons, beside what each has at the engines.
+//! What is known of the other daemons, apart from their usage of each engine.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use super::stats::Seen;
+use super::stats::WorkloadStats;
 use crate::ids::{BackendServerId, HostId};
 use crate::units::Tokens;
 
-/// Position of another daemon among those that were heard of.
+/// Index of a known daemon.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) struct PeerIndex(usize);
 
 #[derive(Clone, Debug)]
 struct Peer {
-    rank: Rank,
-    /// Memory that its waiting requests will take.
+    node_hash: NodeHash,
+    /// Memory that its queued requests will take.
     waiting: Tokens,
-    /// What its requests were like lately.
-    seen: Seen,
-    /// The engines where it has something.
-    at: Vec<usize>,
+    /// Statistics of its recent requests.
+    stats: WorkloadStats,
+    /// Engines that it uses.
+    engines: Vec<usize>,
 }
 
 /// The other daemons.
 ///
-/// Load: hundreds of daemons, each of which tells of every request that begins or ends. Harm prevented: a look at all
-/// engines, or at all daemons, for each message takes a host's share of its core in a burst, and callers wait for the daemon
-/// instead of the engines. So a message touches only the engines that it names, and sums are kept.
+/// Each of hundreds of daemons reports every request that begins or ends. Iterating over all engines or all
+/// daemons for each message uses up a host's share of its core in a burst, and callers wait for the daemon
+/// instead of the engines. So a message touches only the engines that it names, and the totals are kept up to
+/// date.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Peers {
     list: Vec<Peer>,
-    names: HashMap<HostId, PeerIndex>,
+    index_by_name: HashMap<HostId, PeerIndex>,
     waiting: Tokens,
-    seen: Seen,
-    seen_is_old: bool,
+    stats: WorkloadStats,
+    stats_are_stale: bool,
 }
 
 impl Peers {
-    /// The daemon on `host`, which is known from now on.
+    /// Index of the daemon on `host`, which is added if it is new.
     pub(super) fn index_of(&mut self, host: HostId) -> PeerIndex {
         let next = PeerIndex(self.list.len());
-        let rank = Rank::of(&host);
-        let index = *self.names.entry(host).or_insert(next);
+        let node_hash = NodeHash::of(&host);
+        let index = *self.index_by_name.entry(host).or_insert(next);
         if index == next {
-            self.list.push(Peer { rank, waiting: Tokens::ZERO, seen: Seen::default(), at: Vec::new() });
+            self.list.push(Peer {
+                node_hash,
+                waiting: Tokens::ZERO,
+                stats: WorkloadStats::default(),
+                engines: Vec::new(),
+            });
         }
         index
     }
 
-    /// Takes what a daemon tells of its requests.
-    pub(super) fn tell(&mut self, index: PeerIndex, waiting: Tokens, seen: Option<Seen>) {
+    /// Applies what a daemon reports of its requests.
+    pub(super) fn update(&mut self, index: PeerIndex, waiting: Tokens, stats: Option<WorkloadStats>) {
         let peer = &mut self.list[index.0];
-        let seen = seen.unwrap_or(peer.seen);
+        let stats = stats.unwrap_or(peer.stats);
         self.waiting = self.waiting.saturating_sub(peer.waiting) + waiting;
-        self.seen_is_old |= peer.seen != seen;
-        (peer.waiting, peer.seen) = (waiting, seen);
+        self.stats_are_stale |= peer.stats != stats;
+        (peer.waiting, peer.stats) = (waiting, stats);
     }
 
-    /// The engines where a daemon has something now.
-    pub(super) fn set_engines(&mut self, index: PeerIndex, at: Vec<usize>) {
-        self.list[index.0].at = at;
+    /// Replaces the engines that a daemon uses.
+    pub(super) fn set_engines(&mut self, index: PeerIndex, engines: Vec<usize>) {
+        self.list[index.0].engines = engines;
     }
 
-    /// The engines where a daemon has something.
+    /// Engines that a daemon uses.
     pub(super) fn engines(&self, index: PeerIndex) -> &[usize] {
-        &self.list[index.0].at
+        &self.list[index.0].engines
     }
 
-    /// Memory that the waiting requests of all of them will take.
+    /// Memory that the queued requests of all of them will take.
     pub(super) fn waiting(&self) -> Tokens {
         self.waiting
     }
 
-    /// What the requests of all of them were like lately.
-    pub(super) fn seen(&mut self) -> Seen {
-        if std::mem::take(&mut self.seen_is_old) {
-            self.seen = self.list.iter().fold(Seen::default(), |sum, peer| sum.and(peer.seen));
+    /// Statistics of the recent requests of all of them.
+    pub(super) fn stats(&mut self) -> WorkloadStats {
+        if std::mem::take(&mut self.stats_are_stale) {
+            self.stats = self.list.iter().fold(WorkloadStats::default(), |sum, peer| sum.and(peer.stats));
         }
-        self.seen
+        self.stats
     }
 
-    /// Those that have requests waiting.
-    pub(super) fn rivals(&self) -> Vec<Rank> {
+    /// Daemons that have queued requests.
+    pub(super) fn contenders(&self) -> Vec<NodeHash> {
         let waiting = self.list.iter().filter(|peer| peer.waiting > Tokens::ZERO);
-        waiting.map(|peer| peer.rank).collect()
+        waiting.map(|peer| peer.node_hash).collect()
     }
 }
 
-/// A name's hash, the same at all daemons.
+/// Hash of a name, the same at all daemons.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) struct Rank(u64);
+pub(super) struct NodeHash(u64);
 
-impl Rank {
-    /// Of a daemon.
+impl NodeHash {
+    /// Hash of a daemon.
     pub(super) fn of(host: &HostId) -> Self {
         Self(hash(host.as_str()))
     }
 
-    /// Of an engine.
+    /// Hash of an engine.
     pub(super) fn of_engine(server: &BackendServerId) -> Self {
         Self(hash(server.as_str()))
     }
 
-    /// A daemon's claim on an engine; the least one has it.
-    pub(super) fn claim(self, engine: Self) -> u64 {
+    /// Rendezvous hash of a daemon and an engine; the daemon with the smallest value gets the engine.
+    pub(super) fn rendezvous_hash(self, engine: Self) -> u64 {
         hash((self.0, engine.0))
     }
 }
--- a/crates/core/src/relay/engines/placement.rs
+++ b/crates/core/src/relay/engines/placement.rs
@@ -1,4 +1,4 @@
-//! Which engines a request goes to.
+//! Choice of the engines for a request.
 
 use super::EnginePool;
 use super::events::{EngineAction, Role};
@@ -9,8 +9,8 @@
 use crate::units::{Millis, MonoTime, Tokens};
 
 impl EnginePool {
-    /// Places waiting requests, the most urgent first, for as long as there is room.
-    pub(super) fn serve(&mut self, now_us: MonoTime, actions: &mut Vec<EngineAction>) {
+    /// Places queued requests, the most urgent first, as long as there is room.
+    pub(super) fn place_waiting(&mut self, now_us: MonoTime, actions: &mut Vec<EngineAction>) {
         while let Some(position) = self.most_urgent(now_us) {
             let request_id = self.waiting[position];
             if !self.place(now_us, request_id, actions) {
@@ -20,11 +20,11 @@
         }
     }
 
-    /// Answers that broke off go on first: half an answer is worth nothing. Then, requests that have not waited too long
-    /// here go before those that have: a place given to a late one makes the next one late as well. Among equals the
-    /// smaller rank, then the one that came first.
+    /// Interrupted answers go first: half an answer is worthless to its caller. Next, requests that can still
+    /// be in time go before late ones: a slot given to a late request makes the next one late as well. Ties
+    /// are broken by priority, then by arrival.
     fn most_urgent(&self, now_us: MonoTime) -> Option<usize> {
-        let placeable = |position: &usize| !self.open[&self.waiting[*position]].owes();
+        let placeable = |position: &usize| !self.open[&self.waiting[*position]].needs_payment();
         if !(0..self.waiting.len()).any(|position| placeable(&position)) {
             return None;
         }
@@ -32,7 +32,7 @@
         let key = |request_id: &RequestId| {
             let open = &self.open[request_id];
             (
-                !open.begun,
+                !open.has_started,
                 self.is_late(now_us, open, backlog),
                 open.demand.priority,
                 open.arrived_us,
@@ -42,29 +42,29 @@
         (0..self.waiting.len()).filter(placeable).min_by_key(|&position| key(&self.waiting[position]))
     }
 
-    /// Chooses engines for a request; false when there is no room for it.
+    /// Chooses engines for a request; returns false if there is no room for it.
     fn place(&mut self, now_us: MonoTime, request_id: RequestId, actions: &mut Vec<EngineAction>) -> bool {
         let open = &self.open[&request_id];
         let (growth, failed_at) = (open.growth(), open.failed_at);
-        let is_late = !open.begun && self.is_late(now_us, open, self.least_backlog(now_us));
+        let is_late = !open.has_started && self.is_late(now_us, open, self.least_backlog(now_us));
         let limit = if is_late { self.late_limit() } else { self.memory_limit() };
-        let fitting = self.fitting_writers(now_us, growth, limit, failed_at);
-        let Some(writer) = self.choose_writer(&fitting) else {
+        let eligible = self.eligible_decode_engines(now_us, growth, limit, failed_at);
+        let Some(decode_engine) = self.choose_decode_engine(&eligible) else {
             return false;
         };
-        self.engines[writer].hold(now_us, request_id, growth);
-        self.engines[writer].instance.start(now_us);
+        self.engines[decode_engine].hold(now_us, request_id, growth);
+        self.engines[decode_engine].instance.start(now_us);
         if self.settings.reserve_ms_max == Millis::ZERO {
-            self.read(now_us, request_id, writer, actions);
+            self.start_prefill(now_us, request_id, decode_engine, actions);
             return true;
         }
         if let Some(open) = self.open.get_mut(&request_id) {
-            open.stage = Stage::Reserving { writer };
+            open.stage = Stage::Reserving { decode_engine };
         }
         actions.push(EngineAction::Reserve {
             request_id,
-            writer: self.engines[writer].instance.server().clone(),
-            tokens: growth.now + Tokens(growth.answer.0 / AHEAD_DIVISOR),
+            decode_engine: self.engines[decode_engine].instance.server().clone(),
+            tokens: growth.now + Tokens(growth.answer.0 / RESERVED_ANSWER_DIVISOR),
             keep_ms: self.settings.reserve_ms_max,
             timeout_ms: RESERVE_TIMEOUT_MS,
         });
@@ -77,12 +77,12 @@
         request_id: RequestId,
         actions: &mut Vec<EngineAction>,
     ) {
-        if let Some(Stage::Reserving { writer }) = self.open.get(&request_id).map(|open| open.stage) {
-            self.read(now_us, request_id, writer, actions);
+        if let Some(Stage::Reserving { decode_engine }) = self.open.get(&request_id).map(|open| open.stage) {
+            self.start_prefill(now_us, request_id, decode_engine, actions);
         }
     }
 
-    /// Nothing was sent that could run, so another engine is asked without any cost to the budget.
+    /// Nothing was sent that could run, so another engine is asked without any charge to the retry budget.
     pub(super) fn reserve_failed(
         &mut self,
         now_us: MonoTime,
@@ -93,170 +93,181 @@
         let Some(open) = self.open.get_mut(&request_id) else {
             return;
         };
-        let Stage::Reserving { writer } = open.stage else {
+        let Stage::Reserving { decode_engine } = open.stage else {
             return;
         };
         open.stage = Stage::Waiting;
-        self.give_back(now_us, writer, request_id, cause);
-        self.wait_again(now_us, request_id, actions);
+        self.undo_placement(now_us, decode_engine, request_id, cause);
+        self.requeue(now_us, request_id, actions);
     }
 
-    /// A writer did not take a request.
-    pub(super) fn give_back(
+    /// Releases a request that a decode engine did not accept.
+    pub(super) fn undo_placement(
         &mut self,
         now_us: MonoTime,
-        writer: usize,
+        decode_engine: usize,
         request_id: RequestId,
         cause: FailureCause,
     ) {
-        let engine = &mut self.engines[writer];
+        let engine = &mut self.engines[decode_engine];
         engine.release(request_id);
         engine.instance.fail(now_us, cause, true);
         if cause == FailureCause::NoRoom {
-            engine.refused(now_us);
+            engine.mark_full(now_us);
         }
     }
 
-    /// Has the prompt read for `writer`, or lets it go on from a KV cache that is still kept.
-    fn read(
+    /// Starts the prefill for `decode_engine`, or goes on to decoding if the KV cache is still held.
+    fn start_prefill(
         &mut self,
         now_us: MonoTime,
         request_id: RequestId,
-        writer: usize,
+        decode_engine: usize,
         actions: &mut Vec<EngineAction>,
     ) {
         let Some(open) = self.open.get(&request_id) else {
             return;
         };
-        let (prompt_tokens, failed_at, read) = (open.demand.prompt_tokens, open.failed_at, open.read);
-        let kept = read.filter(|&(_, read_us)| now_us < read_us + self.settings.hold_ms);
-        // Reading again and writing again are paid for each, and so is a read that is refused. Where the budget does
-        // not bear that, the writer reads: slower, and free.
-        let price = u64::from(open.reads > 0) + u64::from(open.owes());
+        let (prompt_tokens, failed_at, prefilled) =
+            (open.demand.prompt_tokens, open.failed_at, open.prefilled);
+        let held = prefilled.filter(|&(_, prefilled_us)| now_us < prefilled_us + self.settings.hold_ms);
+        // A repeated prefill and a repeated decode are charged one each, and so is a refused prefill. If the
+        // budget does not cover that, the decode engine prefills the prompt: slower, but free.
+        let price = u64::from(open.prefills > 0) + u64::from(open.needs_payment());
         let can_pay = self.budget.has(now_us, price);
-        let reader = match kept {
-            None if can_pay => self
-                .choose_reader(now_us, failed_at)
-                .filter(|&reader| !self.had_better_read_itself(now_us, writer, reader, open)),
+        let prefill_engine = match held {
+            None if can_pay => self.choose_prefill_engine(now_us, failed_at).filter(|&prefill_engine| {
+                !self.should_prefill_on_decode_engine(now_us, decode_engine, prefill_engine, open)
+            }),
             Some(_) | None => None,
         };
         let Some(open) = self.open.get_mut(&request_id) else {
             return;
         };
-        if let Some(reader) = reader {
-            self.engines[reader].begin_reading(prompt_tokens);
-            self.engines[reader].instance.start(now_us);
-            let ahead = self.engines[reader].reading_all();
-            open.stage = Stage::Reading { reader, writer, since_us: now_us, ahead };
-            let expected_ms = self.reading_ms(ahead);
-            actions.push(EngineAction::Read {
+        if let Some(prefill_engine) = prefill_engine {
+            self.engines[prefill_engine].add_prefill(prompt_tokens);
+            self.engines[prefill_engine].instance.start(now_us);
+            let ahead = self.engines[prefill_engine].prefill_backlog();
+            open.stage = Stage::Prefilling { prefill_engine, decode_engine, since_us: now_us, ahead };
+            let expected_ms = self.prefill_ms(ahead);
+            actions.push(EngineAction::Prefill {
                 request_id,
-                reader: self.engines[reader].instance.server().clone(),
-                timeout_ms: expected_ms + self.settings.read_slack_ms,
+                prefill_engine: self.engines[prefill_engine].instance.server().clone(),
+                timeout_ms: expected_ms + self.settings.prefill_slack_ms,
             });
             return;
         }
-        self.write(now_us, request_id, writer, kept.map(|(reader, _)| reader), actions);
+        self.start_decode(
+            now_us,
+            request_id,
+            decode_engine,
+            held.map(|(prefill_engine, _)| prefill_engine),
+            actions,
+        );
     }
 
-    /// Sends a request to the engine that writes its answer.
-    pub(super) fn write(
+    /// Sends a request to its decode engine.
+    pub(super) fn start_decode(
         &mut self,
         now_us: MonoTime,
         request_id: RequestId,
-        writer: usize,
-        reader: Option<usize>,
+        decode_engine: usize,
+        prefill_engine: Option<usize>,
         actions: &mut Vec<EngineAction>,
     ) {
         let Some(open) = self.open.get_mut(&request_id) else {
             return;
         };
-        let reads = if reader.is_some() { Tokens::ZERO } else { open.demand.prompt_tokens };
-        open.stage = Stage::Writing { writer, since_us: now_us, reads };
-        self.engines[writer].begin_reading(reads);
-        let is_further = open.tries.made() > 0;
-        let is_paid = !open.owes() || self.budget.withdraw(now_us);
+        let own_prefill_tokens =
+            if prefill_engine.is_some() { Tokens::ZERO } else { open.demand.prompt_tokens };
+        open.stage = Stage::Decoding { decode_engine, since_us: now_us, own_prefill_tokens };
+        self.engines[decode_engine].add_prefill(own_prefill_tokens);
+        let is_further = open.attempts.made() > 0;
+        let is_paid = !open.needs_payment() || self.budget.withdraw(now_us);
         open.payment = Payment::None;
-        if !is_paid || open.tries.begin().is_err() {
+        if !is_paid || open.attempts.begin().is_err() {
             self.counters.retries_denied += 1;
             self.give_up(now_us, request_id, actions);
             return;
         }
         self.counters.retries += u64::from(is_further);
-        actions.push(EngineAction::Write {
+        actions.push(EngineAction::Decode {
             request_id,
-            writer: self.engines[writer].instance.server().clone(),
-            reader: reader.map(|reader| self.engines[reader].instance.server().clone()),
+            decode_engine: self.engines[decode_engine].instance.server().clone(),
+            prefill_engine: prefill_engine
+                .map(|prefill_engine| self.engines[prefill_engine].instance.server().clone()),
         });
     }
 
-    /// The writers that have room, those that will be least filled first. Memory binds before slots: an engine that runs
-    /// out of it throws a running request out, and the pause makes that answer late.
-    fn fitting_writers(
+    /// Decode engines with room, the least filled first. Memory binds before slots: an engine that runs out
+    /// of it evicts a running request, and the pause makes that answer late.
+    fn eligible_decode_engines(
         &self,
         now_us: MonoTime,
         growth: Growth,
         limit: Tokens,
         failed_at: Option<usize>,
     ) -> Vec<usize> {
-        let takes = |index: &usize| {
+        let accepts = |index: &usize| {
             let engine = &self.engines[*index];
             engine.role == Role::Decode
                 && Some(*index) != failed_at
                 && !engine.is_full(now_us)
                 && engine.has_slot(now_us)
         };
-        let filled = (0..self.engines.len()).filter(takes).filter_map(|index| {
+        let filled = (0..self.engines.len()).filter(accepts).filter_map(|index| {
             let engine = &self.engines[index];
-            let peak = engine.peak(now_us, &self.usual, Some(growth));
+            let peak = engine.peak(now_us, &self.fleet_stats, Some(growth));
             let running = engine.running();
-            // Alone it may take all there is, whatever was expected of it.
+            // A request alone on an engine may take all of it, whatever its expected size.
             (running == 0 || peak <= limit).then_some((peak, running, index))
         });
         let mut filled: Vec<_> = filled.collect();
-        if filled.iter().any(|(_, _, index)| !self.is_second_choice(*index)) {
-            filled.retain(|(_, _, index)| !self.is_second_choice(*index));
+        if filled.iter().any(|(_, _, index)| !self.is_remote_fallback(*index)) {
+            filled.retain(|(_, _, index)| !self.is_remote_fallback(*index));
         }
         filled.sort_unstable();
         filled.into_iter().map(|(_, _, index)| index).collect()
     }
 
-    /// Whether an engine is used only where none of the own data centre is left.
+    /// Whether an engine is used only if no engine of the own data centre is left.
     ///
-    /// Load: a fleet whose daemons receive only messages of their own data centre. Harm prevented:
-    /// daemons of several data centres fill the same engines without knowing of each other.
-    pub(super) fn is_second_choice(&self, index: usize) -> bool {
-        self.settings.near_first && !self.engines[index].near
+    /// In a large fleet daemons receive messages of their own data centre only, so daemons of several data
+    /// centres would fill the same engines without knowing of each other.
+    pub(super) fn is_remote_fallback(&self, index: usize) -> bool {
+        self.settings.prefer_local && !self.engines[index].is_local
     }
 
-    /// One of the writers that have room.
+    /// Chooses one of the decode engines with room.
     ///
-    /// Load: many daemons, each of which hears of the others' choices some milliseconds late. Harm prevented: all of them
-    /// take the emptiest writer, or rush at the one that has just come free, and it outgrows its memory. So while
-    /// requests wait at other daemons too, a writer is for that one of them which its hash names; otherwise the
-    /// emptier ones are taken in turn.
-    fn choose_writer(&mut self, fitting: &[usize]) -> Option<usize> {
-        self.turn = self.turn.wrapping_add(1);
-        let rivals = self.peers.rivals();
-        if rivals.is_empty() {
-            let emptier = fitting.len().div_ceil(EMPTIER_DIVISOR).max(1);
-            return fitting.get(self.turn % emptier).copied();
+    /// Daemons learn of each other's choices some milliseconds late, so many of them would pick the emptiest
+    /// engine, or one that has just become free, and it would run out of memory. So while requests wait at
+    /// other daemons too, an engine goes to the daemon that its rendezvous hash selects; otherwise the least
+    /// filled ones are used in turn.
+    fn choose_decode_engine(&mut self, eligible: &[usize]) -> Option<usize> {
+        self.rotation = self.rotation.wrapping_add(1);
+        let contenders = self.peers.contenders();
+        if contenders.is_empty() {
+            let least_full = eligible.len().div_ceil(LEAST_FULL_DIVISOR).max(1);
+            return eligible.get(self.rotation % least_full).copied();
         }
         let is_own = |index: &&usize| {
-            let engine = self.engines[**index].rank;
-            let own = self.rank.claim(engine);
-            rivals.iter().all(|rival| own < rival.claim(engine))
+            let engine = self.engines[**index].node_hash;
+            let own = self.node_hash.rendezvous_hash(engine);
+            contenders.iter().all(|contender| own < contender.rendezvous_hash(engine))
         };
-        fitting.iter().find(is_own).copied()
+        eligible.iter().find(is_own).copied()
     }
 }
 
-/// The first quarter of the writers that have room are about equally empty.
-const EMPTIER_DIVISOR: usize = 4;
+/// The first quarter of the decode engines with room are about equally empty.
+const LEAST_FULL_DIVISOR: usize = 4;
 
-/// An engine answers a reservation within two round trips; a silent one must not cost a request its target.
+/// An engine answers a reservation within two round trips; waiting for an unresponsive one must not make a
+/// request miss its target.
 const RESERVE_TIMEOUT_MS: Millis = Millis(150);
 
-/// Part of the expected answer that is reserved beyond the prompt: its first events. What comes later is followed here;
-/// reserved at once, it would stand empty for seconds, and engines would refuse what fits.
-const AHEAD_DIVISOR: u64 = 6;
+/// Part of the expected answer that is reserved beyond the prompt, for its first events. Later growth is
+/// tracked here; reserved at once it would stay unused for seconds, and engines would refuse requests that
+/// fit.
+const RESERVED_ANSWER_DIVISOR: u64 = 6;
--- a/crates/core/src/relay/engines/ratio.rs
+++ b/crates/core/src/relay/engines/ratio.rs
@@ -1,8 +1,8 @@
-//! A mean that is kept as two sums, so that those of several daemons add up and old ones fade.
+//! A mean stored as two sums, so that those of several daemons can be added and old observations decay.
 
 use serde::{Deserialize, Serialize};
 
-/// A sum over another: tokens over requests, tokens over milliseconds.
+/// Ratio of two sums, such as tokens per request or tokens per millisecond.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Ratio {
     sum: f32,
@@ -10,12 +10,12 @@
 }
 
 impl Ratio {
-    /// What is believed before anything was seen: `value`, as if it had been seen with `weight`.
+    /// Prior belief: `value`, as if observed with `weight`.
     pub(super) const fn prior(value: f32, weight: f32) -> Self {
         Self { sum: value * weight, weight }
     }
 
-    pub(super) fn note(&mut self, sum: f64, weight: f64) {
+    pub(super) fn record(&mut self, sum: f64, weight: f64) {
         #[expect(clippy::cast_possible_truncation, reason = "seven digits are plenty for a mean")]
         let (sum, weight) = (sum as f32, weight as f32);
         self.sum += sum;
@@ -36,12 +36,12 @@
         f64::from(self.weight)
     }
 
-    /// The mean; nothing until something was seen.
+    /// The mean; `None` until something was observed.
     pub(super) fn mean(self) -> Option<f64> {
         (self.sum > 0.0 && self.weight > 0.0).then(|| f64::from(self.sum) / f64::from(self.weight))
     }
 
-    /// The mean together with what was believed before.
+    /// The mean combined with a prior.
     pub(super) fn mean_with(self, prior: Self) -> f64 {
         let Self { sum, weight } = self.and(prior);
         f64::from(sum) / f64::from(weight).max(f64::MIN_POSITIVE)
--- a/crates/core/src/relay/engines/retry_payment.rs
+++ b/crates/core/src/relay/engines/retry_payment.rs
@@ -1,4 +1,4 @@
-//! Further tries have to be paid for out of what all daemons may spend together.
+//! Payment for retries from the budget that all daemons share.
 
 use super::EnginePool;
 use super::events::EngineAction;
@@ -8,15 +8,19 @@
 use crate::units::MonoTime;
 
 impl EnginePool {
-    /// Pays for the next tries of requests that wait, asks for a loan for those that cannot be paid for, and ends those for
-    /// which none came.
+    /// Pays for the next attempts of queued requests, asks other daemons for credit where the own budget does
+    /// not suffice, and ends requests for which no credit came.
     ///
-    /// Load: engines that leave, die or refuse, before hundreds of daemons whose parts of the allowance are about one try
-    /// each. Harm prevented: a request that ran nowhere is refused although the allowance of all daemons together is hardly
-    /// touched.
-    pub(super) fn pay(&mut self, now_us: MonoTime, actions: &mut Vec<EngineAction>) {
-        let owing: Vec<RequestId> =
-            self.waiting.iter().filter(|request_id| self.open[*request_id].owes()).copied().collect();
+    /// When engines leave, crash or refuse in front of hundreds of daemons, the share of each is about one
+    /// retry. Without credit, requests that ran nowhere would be refused although the budget of all daemons
+    /// together is hardly used.
+    pub(super) fn pay_retries(&mut self, now_us: MonoTime, actions: &mut Vec<EngineAction>) {
+        let owing: Vec<RequestId> = self
+            .waiting
+            .iter()
+            .filter(|request_id| self.open[*request_id].needs_payment())
+            .copied()
+            .collect();
         if owing.is_empty() {
             return;
         }
--- a/crates/core/src/relay/engines/settings.rs
+++ b/crates/core/src/relay/engines/settings.rs
@@ -1,37 +1,37 @@
-//! Limits of the pool, each with its reason.
+//! Settings of the engine pool.
 
 use crate::allowance::AllowanceSettings;
 use crate::sched::InstanceSettings;
 use crate::units::{Millis, Tokens};
 
-/// Limits of an [`EnginePool`].
+/// Settings of an [`EnginePool`].
 #[derive(Clone, Copy, Debug)]
 pub struct EnginePoolSettings {
-    /// How engines are judged.
+    /// How the health of engines is judged.
     pub instance: InstanceSettings,
-    /// Tokens that an engine's memory holds.
+    /// Memory of an engine, in tokens.
     pub memory_tokens: Tokens,
-    /// Part of the memory that is filled at most, in percent. The rest is for what no daemon knows: memory goes by
-    /// blocks, and word of the other daemons' requests is some milliseconds old.
+    /// Part of the memory that is filled at most, in percent. The rest allows for memory being allocated in
+    /// blocks, and for reports of the other daemons being some milliseconds old.
     pub fill_percent: u64,
-    /// Tokens that one event of a stream stands for.
+    /// Tokens per event of a stream.
     pub event_tokens: u64,
-    /// For how long an engine keeps a slot and memory; zero where engines keep none.
+    /// How long an engine keeps a reservation of a slot and memory; zero if engines have no reservations.
     pub reserve_ms_max: Millis,
     /// How long a change of role takes.
     pub role_change_ms: Millis,
-    /// For how long a read prompt waits to be fetched.
+    /// How long the KV cache of a prefilled prompt is held to be fetched.
     pub hold_ms: Millis,
-    /// Requests that wait for an engine at most. Beyond, the oldest would have been refused before the newest
-    /// had its turn.
+    /// Largest number of requests that wait for an engine. Beyond that, the oldest would be refused before
+    /// the newest is reached.
     pub waiting_max: usize,
-    /// Time that reading may take beyond what is expected before it counts as failed.
-    pub read_slack_ms: Millis,
-    /// What this daemon may spend on further tries.
+    /// Time beyond the expected duration after which a prefill counts as failed.
+    pub prefill_slack_ms: Millis,
+    /// Budget of this daemon for retries.
     pub retries: AllowanceSettings,
-    /// Whether engines of the own data centre go before all others: the daemons of other data centres send
-    /// no messages about theirs.
-    pub near_first: bool,
+    /// Whether engines of the own data centre go before all others; set where daemons of other data centres
+    /// send no messages about theirs.
+    pub prefer_local: bool,
 }
 
 impl Default for EnginePoolSettings {
@@ -45,9 +45,9 @@
             role_change_ms: Millis(6_000),
             hold_ms: Millis(500),
             waiting_max: 256,
-            read_slack_ms: Millis(1_000),
+            prefill_slack_ms: Millis(1_000),
             retries: AllowanceSettings::default(),
-            near_first: false,
+            prefer_local: false,
         }
     }
 }
--- a/crates/core/src/relay/expired_entries.rs
+++ b/crates/core/src/relay/expired_entries.rs
@@ -1,42 +1,43 @@
-//! Entries that vanish from the list of servers around an outage of the store.
+//! Server entries that vanish from the list around an outage of the store.
 //!
-//! An entry lapses when its server has not renewed it, and while the store is away no server can. Taken at its word,
-//! the list after an outage would take every server out of use until they have registered again, and all callers
-//! would be refused for two seconds. So what vanished is kept for that long; what is still missing then is gone.
+//! An entry expires when its server does not renew it, and during an outage of the store no server can.
+//! Applied as it is, the list after an outage would take every server out of use until it has registered
+//! again, and all callers would be refused for two seconds. So vanished servers are kept for that long; those
+//! still missing then are gone.
 
 use std::collections::BTreeMap;
 
 use crate::ids::BackendServerId;
 use crate::units::{Millis, MonoTime};
 
-/// Time after the store's return in which servers that live have registered again.
-const RETURN_MS: Millis = Millis(2_000);
+/// Time after the store's return within which live servers have registered again.
+const REREGISTRATION_GRACE_MS: Millis = Millis(2_000);
 
-/// Entries that vanished and are not believed gone yet.
+/// Vanished entries that do not count as gone yet.
 #[derive(Clone, Debug, Default)]
-pub struct Lapses {
-    is_away: bool,
-    /// Until when a vanished entry proves nothing.
-    doubted_until_us: MonoTime,
-    held: BTreeMap<BackendServerId, MonoTime>,
+pub struct ExpiredEntries {
+    is_store_down: bool,
+    /// Until when a vanished entry does not prove that its server is gone.
+    grace_until_us: MonoTime,
+    pending: BTreeMap<BackendServerId, MonoTime>,
 }
 
-impl Lapses {
-    /// A read of the list failed.
-    pub fn lost(&mut self) {
-        self.is_away = true;
+impl ExpiredEntries {
+    /// Records that a read of the list failed.
+    pub fn read_failed(&mut self) {
+        self.is_store_down = true;
     }
 
-    /// A read came through.
-    pub fn read(&mut self, now_us: MonoTime) {
-        if std::mem::take(&mut self.is_away) {
-            self.doubted_until_us = now_us + RETURN_MS;
+    /// Records that a read of the list succeeded.
+    pub fn read_succeeded(&mut self, now_us: MonoTime) {
+        if std::mem::take(&mut self.is_store_down) {
+            self.grace_until_us = now_us + REREGISTRATION_GRACE_MS;
         }
     }
 
-    /// Takes what a read says; returns which of the `vanished` servers are gone now. Those that are `listed` again are
-    /// not held any more.
-    pub fn filter<'a, Listed>(
+    /// Applies the result of a read; returns which of the `vanished` servers are gone now. Those `listed`
+    /// again are no longer pending.
+    pub fn confirm_gone<'a, Listed>(
         &mut self,
         now_us: MonoTime,
         vanished: Vec<BackendServerId>,
@@ -46,17 +47,17 @@
         Listed: Iterator<Item = &'a BackendServerId>,
     {
         for server in listed {
-            self.held.remove(server);
+            self.pending.remove(server);
         }
-        if now_us < self.doubted_until_us {
+        if now_us < self.grace_until_us {
             for server in vanished {
-                self.held.entry(server).or_insert(self.doubted_until_us);
+                self.pending.entry(server).or_insert(self.grace_until_us);
             }
             return Vec::new();
         }
         let mut gone = vanished;
         let is_due = |_: &BackendServerId, until_us: &mut MonoTime| *until_us <= now_us;
-        gone.extend(self.held.extract_if(.., is_due).map(|(server, _)| server));
+        gone.extend(self.pending.extract_if(.., is_due).map(|(server, _)| server));
         gone
     }
 }
--- a/crates/core/src/relay/mod.rs
+++ b/crates/core/src/relay/mod.rs
@@ -1,8 +1,8 @@
-//! Decisions for opaque requests: those that are routed by host and path, passed on unchanged, and answered with
-//! whatever bytes the backend server gives.
+//! Decisions for opaque requests: those routed by host and path, passed on unchanged, and answered with
+//! whatever bytes the backend server returns.
 //!
-//! Classes know what a request says; here only its route and its organisation are known, and for a model's requests the
-//! size of prompt and answer that the caller states.
+//! Unlike a request of a class, whose content is known, an opaque request shows only its route and its
+//! organisation and, for a model, the sizes of prompt and answer that the caller states.
 
 pub mod engines;
 pub mod expired_entries;
--- a/crates/core/src/relay/partners.rs
+++ b/crates/core/src/relay/partners.rs
@@ -1,4 +1,4 @@
-//! Organisations that send opaque requests: their API keys, their rank, and their quotas.
+//! Organisations that send opaque requests: their API keys, priorities and quotas.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -8,12 +8,13 @@
 use crate::ids::PartnerId;
 use crate::quota::Quota;
 
-/// Hash of an API key. Keys themselves are never stored, so that they cannot reach a log, a view or another daemon.
+/// Hash of an API key. The keys themselves are never stored, so that they cannot reach a log, a view or
+/// another daemon.
 #[derive(Clone, Copy, Eq, Hash, PartialEq, Deserialize, Serialize)]
 pub struct KeyHash([u8; blake3::OUT_LEN]);
 
 impl KeyHash {
-    /// The hash of `key`.
+    /// Hashes `key`.
     pub fn of(key: &str) -> Self {
         Self(*blake3::hash(key.as_bytes()).as_bytes())
     }
@@ -25,58 +26,58 @@
     }
 }
 
-/// What a caller shows of itself.
+/// Credentials that a caller presents.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Credentials {
-    /// Nothing.
+    /// None.
     Missing,
-    /// A key, in the scheme that callers are expected to use.
+    /// A key in the expected scheme.
     Key(KeyHash),
-    /// Something that is not a key in that scheme.
-    Unusable,
+    /// Credentials that are not a key in that scheme.
+    Malformed,
 }
 
 /// One organisation.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Partner {
-    /// Its name, as backend servers see it.
+    /// Name under which backend servers know it.
     pub id: PartnerId,
-    /// The keys that its callers use.
+    /// Hashes of the keys that its callers use.
     pub keys: Vec<KeyHash>,
-    /// Rank of its requests, in place of the route's.
+    /// Priority of its requests, overriding that of the route; absent if the route's applies.
     pub priority: Option<u8>,
-    /// What it may send; no limit where it is absent.
+    /// Quota; absent if there is no limit.
     pub quota: Option<Quota>,
 }
 
-/// A request whose caller is not known.
+/// Why a caller could not be identified.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum UnknownCaller {
-    /// The route is for known callers only, and there is no key.
-    #[error("no key")]
+    /// The route requires a key and none was presented.
+    #[error("API key missing")]
     NoKey,
-    /// No organisation holds the key.
-    #[error("key of no organisation")]
+    /// The key belongs to no organisation.
+    #[error("API key belongs to no organisation")]
     UnknownKey,
 }
 
-/// All organisations of one version of the routes.
+/// All organisations in one version of the routing table.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Partners {
     partners: Vec<Partner>,
-    /// Positions in `partners`.
+    /// Index into `partners`.
     by_key: HashMap<KeyHash, usize>,
 }
 
 impl Partners {
-    /// Indexes `partners` by their keys.
+    /// Builds the index of `partners` by key.
     pub fn new(partners: Vec<Partner>) -> Self {
         let positions = partners.iter().enumerate();
         let by_key = positions.flat_map(|(at, partner)| partner.keys.iter().map(move |key| (*key, at)));
         Self { by_key: by_key.collect(), partners }
     }
 
-    /// Whether callers have to show a key at all.
+    /// Whether no organisation is configured; callers need no key then.
     pub fn is_empty(&self) -> bool {
         self.partners.is_empty()
     }
@@ -86,11 +87,12 @@
         self.partners.iter()
     }
 
-    /// The organisation whose caller sent a request; `None` where the route is open to callers without a key.
+    /// Identifies the organisation whose caller sent a request; `None` if the route is open to callers
+    /// without a key, or no organisation is configured.
     ///
     /// # Errors
     ///
-    /// [`UnknownCaller`].
+    /// [`UnknownCaller`] if a required key is missing, or if the key belongs to no organisation.
     pub fn authenticate(
         &self,
         credentials: Credentials,
@@ -106,7 +108,7 @@
             }
             Credentials::Missing if allows_anonymous => Ok(None),
             Credentials::Missing => Err(UnknownCaller::NoKey),
-            Credentials::Unusable => Err(UnknownCaller::UnknownKey),
+            Credentials::Malformed => Err(UnknownCaller::UnknownKey),
         }
     }
 }
--- a/crates/core/src/relay/prior_wait.rs
+++ b/crates/core/src/relay/prior_wait.rs
@@ -1,11 +1,12 @@
-//! How long a caller has waited already when its request comes in.
+//! Estimates how long a caller has already waited when its request arrives.
 //!
-//! Load: bursts in which many callers are refused and come back seconds later, beside callers who come for the first
-//! time. Harm prevented: places go to answers that are late anyhow, and the first-comers become late in turn. A caller
-//! says how long it will wait, and one who has come before has spent a part of that. But callers differ in patience by more
-//! than a target; measured against the most patient one, two in five first-comers counted as late, and a fifth of the
-//! engines' memory stood empty for others while these were refused. So a caller counts as having waited only when it has
-//! less time left than any first-comer, and those are known by their coming while nobody had been sent away.
+//! In bursts many callers are refused and come back seconds later, beside callers that come for the first
+//! time. Slots given to answers that are late anyhow make the first-time callers late in turn. A caller
+//! states how long it will wait, and one that returns has spent a part of that. But callers differ in this by
+//! more than a target: measured against the longest wait, two in five first-time callers counted as late, and
+//! a fifth of the engines' memory stayed reserved for others while these were refused. So a caller counts as
+//! having waited only if it has less time left than any first-time caller, and first-time callers are those
+//! that arrive while no refused caller can be about to return.
 
 use std::collections::HashMap;
 
@@ -14,53 +15,57 @@
 /// What is known of the callers of a route.
 #[derive(Clone, Copy, Debug, Default)]
 struct Callers {
-    /// Longest time that one of them would wait.
-    longest_ms: Millis,
-    /// Shortest time that a first-comer would wait.
-    shortest_ms: Option<Millis>,
-    /// When one of them was last told to come back.
-    refused_us: Option<MonoTime>,
+    /// Longest time that any of them stated.
+    longest_wait_ms: Millis,
+    /// Shortest time that a first-time caller stated.
+    shortest_first_wait_ms: Option<Millis>,
+    /// When one of them was last refused.
+    last_refusal_us: Option<MonoTime>,
 }
 
 impl Callers {
-    /// Whether those who come now come for the first time: whoever was sent away has come back or given up.
-    fn are_first_comers(&self, now_us: MonoTime) -> bool {
-        self.refused_us.is_none_or(|refused_us| now_us >= refused_us + self.longest_ms)
+    /// Whether callers that arrive now come for the first time: all that were refused have returned or given
+    /// up.
+    fn are_first_attempts(&self, now_us: MonoTime) -> bool {
+        self.last_refusal_us.is_none_or(|last_refusal_us| now_us >= last_refusal_us + self.longest_wait_ms)
     }
 }
 
-/// The patience of callers, by route.
+/// Estimates of the time that callers have waited, by route.
 #[derive(Clone, Debug, Default)]
-pub struct Patience {
+pub struct PriorWaits {
     callers: HashMap<String, Callers>,
 }
 
-impl Patience {
-    /// How long a caller of `route` has waited at least who will wait for another `left_ms`; nothing where it does not say.
-    pub fn waited(&mut self, now_us: MonoTime, route: &str, left_ms: Option<Millis>) -> Millis {
-        let Some(left_ms) = left_ms else {
+impl PriorWaits {
+    /// Lower bound of the time that a caller of `route` has waited that will wait for another `remaining_ms`;
+    /// zero if it does not state that.
+    pub fn estimate(&mut self, now_us: MonoTime, route: &str, remaining_ms: Option<Millis>) -> Millis {
+        let Some(remaining_ms) = remaining_ms else {
             return Millis::ZERO;
         };
         let callers = match self.callers.get_mut(route) {
             Some(callers) => callers,
             None => self.callers.entry(route.to_owned()).or_default(),
         };
-        callers.longest_ms = callers.longest_ms.max(left_ms);
-        if callers.are_first_comers(now_us) {
-            let shortest_ms = callers.shortest_ms.get_or_insert(left_ms);
-            *shortest_ms = left_ms.min(*shortest_ms);
+        callers.longest_wait_ms = callers.longest_wait_ms.max(remaining_ms);
+        if callers.are_first_attempts(now_us) {
+            let shortest_first_wait_ms = callers.shortest_first_wait_ms.get_or_insert(remaining_ms);
+            *shortest_first_wait_ms = remaining_ms.min(*shortest_first_wait_ms);
         }
-        callers.shortest_ms.map_or(Millis::ZERO, |shortest_ms| shortest_ms.saturating_sub(left_ms))
+        callers.shortest_first_wait_ms.map_or(Millis::ZERO, |shortest_first_wait_ms| {
+            shortest_first_wait_ms.saturating_sub(remaining_ms)
+        })
     }
 
-    /// A caller of `route` was told to come back.
-    pub fn refused(&mut self, now_us: MonoTime, route: &str) {
+    /// Records that a caller of `route` was refused.
+    pub fn record_refusal(&mut self, now_us: MonoTime, route: &str) {
         if let Some(callers) = self.callers.get_mut(route) {
-            callers.refused_us = Some(now_us);
+            callers.last_refusal_us = Some(now_us);
         }
     }
 
-    /// The routes changed: of those that are gone nothing is kept.
+    /// Drops the state of routes for which `is_known` does not hold.
     pub fn retain<Known>(&mut self, is_known: Known)
     where
         Known: Fn(&str) -> bool,
--- a/crates/core/src/relay/recipients.rs
+++ b/crates/core/src/relay/recipients.rs
@@ -1,67 +1,68 @@
-//! Whom a daemon sends its messages to.
+//! Which daemons a daemon sends its messages to.
 //!
-//! Load: hundreds of daemons. Harm prevented: if each sends to all, every daemon added costs each of them one more message
-//! to send and one to receive, and all together the square of their number. So a large fleet talks inside its data centres,
-//! and a few links of each daemon join these: whatever is news on one of them is news to the whole data centre.
+//! If each of hundreds of daemons sends to all, every added daemon costs each of them one more message to
+//! send and one to receive, and the total grows with the square of their number. So in a large fleet messages
+//! stay within a data centre, and a few links of each daemon connect the data centres: an update that arrives
+//! over one of them spreads in the whole data centre.
 
 use std::collections::BTreeMap;
 
 use crate::ids::{DataCentreId, HostId};
 use crate::quota::candidates;
 
-/// How far messages go.
+/// Scope of a daemon's messages.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Reach {
-    /// To all daemons.
+pub enum BroadcastScope {
+    /// All daemons.
     #[default]
-    Everyone,
-    /// To the daemons of the own data centre, and over links to others.
+    AllDaemons,
+    /// The daemons of the own data centre, and links to the other data centres.
     DataCentre,
 }
 
-impl Reach {
-    /// Of each of so many daemons.
-    pub fn among(daemons: usize) -> Self {
-        if daemons > EVERYONE_MAX { Self::DataCentre } else { Self::Everyone }
+impl BroadcastScope {
+    /// Scope in a fleet of this many daemons.
+    pub fn for_daemon_count(daemons: usize) -> Self {
+        if daemons > FULL_MESH_MAX_DAEMONS { Self::DataCentre } else { Self::AllDaemons }
     }
 }
 
-/// Daemons up to which each sends to all others.
-const EVERYONE_MAX: usize = 256;
+/// Largest number of daemons at which each sends to all others.
+const FULL_MESH_MAX_DAEMONS: usize = 256;
 
-/// Daemons of another data centre that one daemon may use as its link there. The first that lives is used.
+/// Daemons of another data centre that a daemon may use as its link there. The first live one is used.
 const LINK_CANDIDATES: usize = 3;
 
-/// Whom one daemon sends its messages to.
+/// Daemons that one daemon sends its messages to.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Audience {
-    /// How far its messages go.
-    pub reach: Reach,
-    /// Each of them gets every message.
+pub struct Recipients {
+    /// Scope of its messages.
+    pub scope: BroadcastScope,
+    /// Daemons that get every message.
     pub members: Vec<HostId>,
-    /// By data centre: one of them gets every message, the first that lives.
+    /// Candidates by data centre; the first live one gets every message.
     pub links: BTreeMap<DataCentreId, Vec<HostId>>,
 }
 
-impl Audience {
-    /// Of the daemon on `own`, among all others and itself.
-    pub fn of<'a, Others>(own: &HostId, data_centre: &DataCentreId, others: Others) -> Self
+impl Recipients {
+    /// Selects the recipients of the daemon on `own`; `others` are all daemons without it.
+    pub fn select<'a, Others>(own: &HostId, data_centre: &DataCentreId, others: Others) -> Self
     where
         Others: Iterator<Item = (&'a HostId, &'a DataCentreId)> + Clone,
     {
-        let reach = Reach::among(others.clone().count() + 1);
-        let mut audience = Self { reach, ..Self::default() };
-        for (host, at) in others {
-            if reach == Reach::Everyone || at == data_centre {
-                audience.members.push(host.clone());
+        let scope = BroadcastScope::for_daemon_count(others.clone().count() + 1);
+        let mut recipients = Self { scope, ..Self::default() };
+        for (host, other_data_centre) in others {
+            if scope == BroadcastScope::AllDaemons || other_data_centre == data_centre {
+                recipients.members.push(host.clone());
             } else {
-                audience.links.entry(at.clone()).or_default().push(host.clone());
+                recipients.links.entry(other_data_centre.clone()).or_default().push(host.clone());
             }
         }
-        for hosts in audience.links.values_mut() {
+        for hosts in recipients.links.values_mut() {
             *hosts = candidates(own.as_str(), std::mem::take(hosts));
             hosts.truncate(LINK_CANDIDATES);
         }
-        audience
+        recipients
     }
 }
--- a/crates/core/src/relay/routes.rs
+++ b/crates/core/src/relay/routes.rs
@@ -1,4 +1,4 @@
-//! The routing table: which service a request goes to, and what may be done with it.
+//! The routing table: the service for each request, and whether a request may be repeated.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
@@ -13,7 +13,7 @@
 
 use super::partners::{Partner, Partners};
 
-/// Version of a routing table. A later one is greater; numbers may be left out.
+/// Version of a routing table. Later versions are greater; numbers may be skipped.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct TableVersion(pub u64);
 
@@ -31,16 +31,16 @@
     }
 }
 
-/// What kind of answer a route gives, and what may be repeated.
+/// Kind of answer that a route gives, and whether its requests may be repeated.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Deserialize, Serialize)]
 pub enum RouteKind {
-    /// One answer; running it again does no harm.
+    /// One answer; repeating the request does no harm.
     Idempotent,
-    /// One answer; it runs at most once.
+    /// One answer; the request runs at most once.
     AtMostOnce,
     /// A stream of numbered events.
     Stream {
-        /// Whether another server may go on behind the last event that arrived.
+        /// Whether another server may resume the stream after the last event that arrived.
         resumable: bool,
     },
 }
@@ -60,7 +60,7 @@
     }
 }
 
-/// A service that a route leads to, and its part of the route's requests.
+/// A service that a route leads to, and its share of the route's requests.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Destination {
     /// The service.
@@ -69,85 +69,86 @@
     pub weight: u32,
 }
 
-/// One route.
+/// A route.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Route {
-    /// Its name, for people.
+    /// Name for operators.
     pub name: String,
-    /// Host that it is for.
+    /// Host that it matches.
     pub host: String,
-    /// Path prefix that it is for; begins and ends with a slash.
+    /// Path prefix that it matches; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Kind of answer, and whether requests may be repeated.
     pub kind: RouteKind,
-    /// Where its requests go.
+    /// Services that its requests go to, by weight.
     pub destinations: Vec<Destination>,
-    /// Servers that may run one request at most.
+    /// Largest number of servers that may run one request.
     pub attempts_max: u32,
-    /// Longest that a caller is kept waiting for the whole answer.
+    /// Longest time that a caller waits for the whole answer.
     pub timeout_ms: Millis,
-    /// Time within which an answer, or its first event, is in time.
+    /// Time within which an answer, or its first event, counts as in time.
     pub target_ms: Millis,
-    /// Longest pause between events with which a stream is still in time.
+    /// Longest pause between events with which a stream counts as in time; absent if there is no limit.
     pub gap_target_ms: Option<Millis>,
-    /// Rank; smaller goes first.
+    /// Priority; smaller values go first.
     pub priority: u8,
     /// Whether callers without a key are served.
     pub allows_anonymous: bool,
 }
 
 impl Route {
-    /// The service for the request that `draw` was drawn for: the same draw gives the same service.
+    /// Service for a request with the random number `draw`; the same number gives the same service. `None` if
+    /// no destination has a weight.
     pub fn destination(&self, draw: u64) -> Option<&ServiceId> {
         let total: u64 = self.destinations.iter().map(|to| u64::from(to.weight)).sum();
-        let mut left = draw.checked_rem(total)?;
+        let mut remaining = draw.checked_rem(total)?;
         for to in &self.destinations {
             let weight = u64::from(to.weight);
-            if left < weight {
+            if remaining < weight {
                 return Some(&to.service);
             }
-            left -= weight;
+            remaining -= weight;
         }
         None
     }
 }
 
-/// What a service is, as configured.
+/// Configuration of a service.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct ServiceSpec {
-    /// Connections that one of its servers takes of all callers together.
+    /// Connections that one of its servers accepts from all callers together.
     pub connections_max: u32,
-    /// Set where its servers are model engines.
+    /// Engine parameters; absent if its servers are not model engines.
     pub engine: Option<EngineSpec>,
 }
 
-/// What the engines of a service have in common.
+/// Parameters shared by the engines of a service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct EngineSpec {
-    /// Requests that run at once.
+    /// Number of requests that an engine runs at once.
     pub slots: u32,
-    /// Tokens that the memory holds.
+    /// Memory of an engine, in tokens.
     pub memory_tokens: u64,
-    /// How long a KV cache waits to be fetched.
+    /// How long a KV cache is held to be fetched.
     pub hold_ms: Millis,
-    /// Tokens that one event of a stream stands for.
+    /// Tokens per event of a stream.
     pub event_tokens: u64,
-    /// For how long a slot and memory can be reserved; zero where they cannot.
+    /// How long a slot and memory can be reserved; zero if engines have no reservations.
     pub reserve_ms_max: Millis,
     /// How long a change of role takes.
     pub role_change_ms: Millis,
 }
 
-/// Bounds on what callers may send and how long they may take.
+/// Limits on what callers may send and how long they may take.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct CallerLimits {
-    /// Largest head.
+    /// Largest request head.
     pub head_bytes: Bytes,
-    /// Largest body.
+    /// Largest request body.
     pub body_bytes: Bytes,
-    /// Time for a head to arrive.
+    /// Time within which a request head has to arrive.
     pub head_timeout_ms: Millis,
-    /// Time that a connection may stay without a request.
+    /// Time that a connection may stay idle between requests.
     pub idle_timeout_ms: Millis,
 }
 
@@ -166,7 +167,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct RouteTable {
     version: TableVersion,
-    /// By host, the longest prefix first.
+    /// By host, longest prefix first.
     routes: HashMap<String, Vec<Route>>,
     services: BTreeMap<ServiceId, ServiceSpec>,
     limits: CallerLimits,
@@ -191,29 +192,29 @@
         Self { version, routes: by_host, services, limits, partners: Partners::default() }
     }
 
-    /// The same table for callers of these organisations only.
+    /// The same table, restricted to callers of these organisations.
     #[must_use]
     pub fn with_partners(self, partners: Vec<Partner>) -> Self {
         Self { partners: Partners::new(partners), ..self }
     }
 
-    /// Its version; zero before the first one was learned.
+    /// Version of the table; zero before the first one is known.
     pub fn version(&self) -> TableVersion {
         self.version
     }
 
-    /// Whether any version was learned. An empty table would answer "no such route" for routes that exist.
+    /// Whether any version is known. An empty table would answer "no such route" for routes that exist.
     pub fn is_known(&self) -> bool {
         self.version > TableVersion::default()
     }
 
-    /// Whether `newer` may take this table's place. Reads of the store may return older contents; a process that
+    /// Whether `newer` may replace this table. Reads of the store may return older contents; a process that
     /// went back would handle requests by rules that the operator has replaced.
     pub fn is_replaced_by(&self, newer: &Self) -> bool {
         newer.version > self.version
     }
 
-    /// The route with the longest prefix that the path begins with.
+    /// The route with the longest prefix of `path`.
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.rsplit_once(':').map_or(host, |(name, _port)| name);
         let routes = match self.routes.get(host) {
@@ -223,12 +224,12 @@
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// Whether there is a route of this name.
+    /// Whether a route of this name exists.
     pub fn has(&self, name: &str) -> bool {
         self.routes.values().flatten().any(|route| route.name == name)
     }
 
-    /// A service, if it is configured.
+    /// Configuration of a service; `None` if it is not configured.
     pub fn service(&self, name: &ServiceId) -> Option<&ServiceSpec> {
         self.services.get(name)
     }
@@ -238,12 +239,12 @@
         self.services.iter()
     }
 
-    /// The organisations that may send requests; none where callers need no key.
+    /// Organisations that may send requests; empty if callers need no key.
     pub fn partners(&self) -> &Partners {
         &self.partners
     }
 
-    /// Bounds on callers.
+    /// Limits on callers.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
--- a/crates/core/src/retransmit.rs
+++ b/crates/core/src/retransmit.rs
@@ -1,44 +1,45 @@
-//! Items that go out in several messages in a row, since any one message may be lost.
+//! Items that are sent in several consecutive messages, since any message may be lost.
 
-/// Messages that carry each item. With one message in some hundred lost, few daemons miss all of them.
+/// Number of messages that carry each item. With one message in some hundred lost, few daemons miss all of
+/// them.
 const TRANSMISSIONS: u8 = 3;
 
-/// Items that are still to be sent, in the order in which they came.
+/// Items still to be sent, in order of arrival.
 #[derive(Clone, Debug)]
-pub struct Repeats<Item> {
+pub struct RetransmitQueue<Item> {
     pending: Vec<(u8, Item)>,
 }
 
-impl<Item> Default for Repeats<Item> {
+impl<Item> Default for RetransmitQueue<Item> {
     fn default() -> Self {
         Self { pending: Vec::new() }
     }
 }
 
-impl<Item> Repeats<Item>
+impl<Item> RetransmitQueue<Item>
 where
     Item: Clone,
 {
-    /// Has the next messages carry `item`.
+    /// Adds `item` to the next messages.
     pub fn push(&mut self, item: Item) {
         self.pending.push((TRANSMISSIONS, item));
     }
 
-    /// What the next message carries, the oldest first, at most `limit` of them.
-    pub fn oldest(&mut self, limit: usize) -> Vec<Item> {
+    /// Items for the next message, oldest first, at most `limit` of them.
+    pub fn take_oldest(&mut self, limit: usize) -> Vec<Item> {
         let sent = send(self.pending.iter_mut().take(limit));
-        self.pending.retain(|(left, _)| *left > 0);
+        self.pending.retain(|(remaining, _)| *remaining > 0);
         sent
     }
 
-    /// The same with the newest first.
-    pub fn newest(&mut self, limit: usize) -> Vec<Item> {
+    /// Items for the next message, newest first, at most `limit` of them.
+    pub fn take_newest(&mut self, limit: usize) -> Vec<Item> {
         let sent = send(self.pending.iter_mut().rev().take(limit));
-        self.pending.retain(|(left, _)| *left > 0);
+        self.pending.retain(|(remaining, _)| *remaining > 0);
         sent
     }
 
-    /// All items that are still to be sent.
+    /// All items still to be sent.
     pub fn iter(&self) -> impl Iterator<Item = &Item> {
         self.pending.iter().map(|(_, item)| item)
     }
@@ -57,8 +58,8 @@
     Item: Clone + 'a,
     Due: Iterator<Item = &'a mut (u8, Item)>,
 {
-    due.map(|(left, item)| {
-        *left -= 1;
+    due.map(|(remaining, item)| {
+        *remaining -= 1;
         item.clone()
     })
     .collect()
--- a/crates/core/tests/relay/load.rs
+++ b/crates/core/tests/relay/load.rs
@@ -1,10 +1,10 @@
-//! Bursts, replayed against engines in virtual time.
+//! Bursts of requests, simulated against engines in virtual time.
 
 use hibiscusvale_core::relay::engines::Role;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::simulation::{Fate, World, demand};
+use crate::simulation::{Outcome, Simulation, demand};
 
 /// The engines of a small installation.
 const ENGINES: [(&str, Role); 11] = [
@@ -23,12 +23,12 @@
 
 const DAEMONS: usize = 6;
 
-/// With room kept for the final size of each request 0.51 of the same replay were in time, with memory followed over
-/// time 0.69.
+/// The same simulation gave 0.51 in time with memory reserved for the final size of each request, and 0.69
+/// with memory tracked over time.
 const IN_TIME_LEAST: f64 = 0.65;
 
-/// Requests at `per_s` for `length_s`, by the same seed each time.
-fn burst(world: &mut World, from_ms: u64, length_s: u64, per_s: u64, first: u64) -> u64 {
+/// Schedules requests at `per_s` for `length_s`, with a fixed seed; returns the next free sequence number.
+fn burst(simulation: &mut Simulation, from_ms: u64, length_s: u64, per_s: u64, first: u64) -> u64 {
     let mut rng = StdRng::seed_from_u64(7);
     let count = length_s * per_s;
     for number in 0..count {
@@ -36,102 +36,108 @@
         let prompt_tokens = rng.random_range(1_500..9_000);
         let answer_tokens = rng.random_range(2_500..9_500);
         let demand = demand(first + number, prompt_tokens, answer_tokens);
-        world.arrive_at(at_ms, rng.random_range(0..DAEMONS), demand, answer_tokens);
+        simulation.arrive_at(at_ms, rng.random_range(0..DAEMONS), demand, answer_tokens);
     }
     first + count
 }
 
-fn share(world: &World, wanted: impl Fn(&Fate) -> bool) -> f64 {
-    world.fates.values().filter(|fate| wanted(fate)).count() as f64 / world.fates.len() as f64
+fn share(simulation: &Simulation, wanted: impl Fn(&Outcome) -> bool) -> f64 {
+    simulation.outcomes.values().filter(|outcome| wanted(outcome)).count() as f64
+        / simulation.outcomes.len() as f64
 }
 
-/// The usual load leaves room; nobody may be refused or late then.
+/// At the usual load there is room, so no request may be refused or late.
 #[test]
 fn the_usual_load_is_served_in_time() {
-    let mut world = World::new(DAEMONS, &ENGINES, true);
-    let sent = burst(&mut world, 0, 20, 10, 0);
-    world.run();
-    assert_eq!(world.fates.len() as u64, sent);
-    assert!(share(&world, |fate| *fate == Fate::InTime) > 0.99);
+    let mut simulation = Simulation::new(DAEMONS, &ENGINES, true);
+    let sent = burst(&mut simulation, 0, 20, 10, 0);
+    simulation.run();
+    assert_eq!(simulation.outcomes.len() as u64, sent);
+    assert!(share(&simulation, |outcome| *outcome == Outcome::InTime) > 0.99);
 }
 
-/// For four seconds twice as many requests come as writers can hold. Queued in turn, each would wait a little longer
-/// than its target and callers would see all answers late; so those that cannot make it are told at once.
+/// For four seconds twice as many requests arrive as decode engines can hold. If all were queued, each would
+/// wait a little longer than its target and all answers would be late, so requests that cannot be in time
+/// must be refused early.
 #[test]
-fn in_a_burst_most_of_what_fits_is_in_time_and_the_rest_is_told_early() {
-    let mut world = World::new(DAEMONS, &ENGINES, true);
-    let next = burst(&mut world, 0, 6, 10, 0);
-    burst(&mut world, 6_000, 4, 40, next);
-    world.run();
-    let in_time = share(&world, |fate| *fate == Fate::InTime);
-    let late = share(&world, |fate| *fate == Fate::Late);
-    // What seven writers could hold from the first arrival to the last one's target, with every token of memory taken
-    // all the time by requests of mean size: 5,250 and 6,000 tokens with the pool's margin, for 3.5 s each.
+fn in_a_burst_most_of_the_capacity_is_in_time_and_the_rest_is_refused_early() {
+    let mut simulation = Simulation::new(DAEMONS, &ENGINES, true);
+    let next = burst(&mut simulation, 0, 6, 10, 0);
+    burst(&mut simulation, 6_000, 4, 40, next);
+    simulation.run();
+    let in_time = share(&simulation, |outcome| *outcome == Outcome::InTime);
+    let late = share(&simulation, |outcome| *outcome == Outcome::Late);
+    // What seven decode engines could hold from the first arrival to the last one's target, with every token
+    // of memory taken all the time by requests of mean size: 5,250 and 6,000 tokens with the pool's margin,
+    // for 3.5 s each.
     let fits = 7.0 * 81_432.0 * 10.9 / ((5_250.0 + 1.25 * 6_000.0) * 3.5);
-    let bound = fits / world.fates.len() as f64;
-    assert!(in_time > 0.9 * bound, "{in_time} in time, {bound} could be");
+    let bound = fits / simulation.outcomes.len() as f64;
+    assert!(in_time > 0.9 * bound, "{in_time} in time, upper bound {bound}");
     assert!(late < 0.1, "{late} late");
-    let told_ms = world.fates.values().filter_map(|fate| match fate {
-        Fate::Refused { at_ms } => Some(*at_ms),
-        Fate::InTime | Fate::Late => None,
+    let refusal_delays_ms = simulation.outcomes.values().filter_map(|outcome| match outcome {
+        Outcome::Refused { at_ms } => Some(*at_ms),
+        Outcome::InTime | Outcome::Late => None,
     });
-    let mut told_ms: Vec<u64> = told_ms.collect();
-    told_ms.sort_unstable();
+    let mut refusal_delays_ms: Vec<u64> = refusal_delays_ms.collect();
+    refusal_delays_ms.sort_unstable();
     assert!(
-        told_ms[told_ms.len() / 2] <= 100,
-        "half of the refusals after {} ms",
-        told_ms[told_ms.len() / 2]
+        refusal_delays_ms[refusal_delays_ms.len() / 2] <= 100,
+        "median time to refusal {} ms",
+        refusal_delays_ms[refusal_delays_ms.len() / 2]
     );
 }
 
-/// Daemons that do not know of each other's requests choose the same writer, which refuses most of them; each refusal
-/// costs a round trip of the caller's time.
+/// Daemons that do not know of each other's requests choose the same decode engine, which refuses most of
+/// them; each refusal costs the caller a round trip.
 #[test]
-fn daemons_that_tell_each_other_are_refused_less() {
-    let refused = |tells_peers| {
-        let mut world = World::new(DAEMONS, &ENGINES, tells_peers);
-        let next = burst(&mut world, 0, 6, 10, 0);
-        burst(&mut world, 6_000, 4, 30, next);
-        world.run();
-        world.refused_reservations
+fn sharing_usage_reduces_refused_reservations() {
+    let refused = |shares_usage| {
+        let mut simulation = Simulation::new(DAEMONS, &ENGINES, shares_usage);
+        let next = burst(&mut simulation, 0, 6, 10, 0);
+        burst(&mut simulation, 6_000, 4, 30, next);
+        simulation.run();
+        simulation.refused_reservations
     };
     let (alone, together) = (refused(false), refused(true));
-    assert!(together * 2 < alone, "{together} refused together, {alone} alone");
+    assert!(together * 2 < alone, "{together} refused with shared usage, {alone} without");
 }
 
-/// A writer that is filled beyond its memory throws a running request out, whose caller sees a long pause.
+/// A decode engine that is filled beyond its memory evicts a running request, and its caller sees a long
+/// pause.
 #[test]
-fn no_writer_is_filled_beyond_its_memory() {
-    let mut world = World::new(DAEMONS, &ENGINES, true);
-    burst(&mut world, 0, 10, 40, 0);
-    world.run();
-    assert!(world.peak_tokens <= 81_432, "{} tokens", world.peak_tokens);
+fn no_decode_engine_is_filled_beyond_its_memory() {
+    let mut simulation = Simulation::new(DAEMONS, &ENGINES, true);
+    burst(&mut simulation, 0, 10, 40, 0);
+    simulation.run();
+    assert!(simulation.peak_tokens <= 81_432, "{} tokens", simulation.peak_tokens);
 }
 
-/// The load stays half above what the writers can hold for twenty seconds, so that requests begin at different times.
-/// Room kept for the final size of each would stand empty for most of its time, and callers would be refused for it.
+/// For twenty seconds the load is half above what the decode engines can hold, so that requests begin at
+/// different times. Memory reserved for the final size of each would stay unused for most of the time, and
+/// callers would be refused for it.
 #[test]
 fn requests_that_began_at_different_times_share_the_memory() {
-    let mut world = World::new(DAEMONS, &ENGINES, true);
-    burst(&mut world, 0, 20, 18, 0);
-    world.run();
-    let in_time = share(&world, |fate| *fate == Fate::InTime);
+    let mut simulation = Simulation::new(DAEMONS, &ENGINES, true);
+    burst(&mut simulation, 0, 20, 18, 0);
+    simulation.run();
+    let in_time = share(&simulation, |outcome| *outcome == Outcome::InTime);
     assert!(in_time > IN_TIME_LEAST, "{in_time} in time");
-    assert!(world.peak_tokens <= 81_432, "{} tokens", world.peak_tokens);
+    assert!(simulation.peak_tokens <= 81_432, "{} tokens", simulation.peak_tokens);
 }
 
-/// Twenty daemons hear of a writer that has come free within the same millisecond, and each has requests that wait. If
-/// all of them sent one there it would outgrow its memory seconds later, and callers would see long pauses.
+/// Twenty daemons learn within the same millisecond that a decode engine has become free, and each has queued
+/// requests. If all sent one there, it would outgrow its memory seconds later, and callers would see long
+/// pauses.
 #[test]
-fn many_daemons_do_not_rush_at_a_writer_that_comes_free() {
-    let mut world = World::new(20, &ENGINES, true);
+fn many_daemons_do_not_overfill_a_decode_engine_that_becomes_free() {
+    let mut simulation = Simulation::new(20, &ENGINES, true);
     let mut rng = StdRng::seed_from_u64(7);
     for number in 0..400 {
         let (prompt_tokens, answer_tokens) = (rng.random_range(1_500..9_000), rng.random_range(2_500..9_500));
         let demand = demand(number, prompt_tokens, answer_tokens);
-        world.arrive_at(number * 25, rng.random_range(0..20), demand, answer_tokens);
+        simulation.arrive_at(number * 25, rng.random_range(0..20), demand, answer_tokens);
     }
-    world.run();
-    assert!(world.peak_tokens <= 81_432, "{} tokens", world.peak_tokens);
-    assert_eq!(world.refused_reservations, 0);
+    simulation.run();
+    assert!(simulation.peak_tokens <= 81_432, "{} tokens", simulation.peak_tokens);
+    assert_eq!(simulation.refused_reservations, 0);
 }
--- a/crates/core/tests/relay/partners.rs
+++ b/crates/core/tests/relay/partners.rs
@@ -1,4 +1,4 @@
-//! Organisations and their keys.
+//! Organisations and their API keys.
 
 use hibiscusvale_core::relay::partners::{Credentials, KeyHash, Partner, Partners, UnknownCaller};
 use rstest::rstest;
@@ -23,8 +23,8 @@
 #[case(key("key-4"), true, Err(UnknownCaller::UnknownKey))]
 #[case(Credentials::Missing, false, Err(UnknownCaller::NoKey))]
 #[case(Credentials::Missing, true, Ok(None))]
-#[case(Credentials::Unusable, true, Err(UnknownCaller::UnknownKey))]
-fn a_request_is_of_whoever_holds_its_key(
+#[case(Credentials::Malformed, true, Err(UnknownCaller::UnknownKey))]
+fn a_request_belongs_to_the_organisation_of_its_key(
     #[case] credentials: Credentials,
     #[case] allows_anonymous: bool,
     #[case] expected: Result<Option<&str>, UnknownCaller>,
@@ -35,14 +35,14 @@
 }
 
 #[test]
-fn without_organisations_nobody_needs_a_key() {
+fn without_organisations_no_key_is_needed() {
     assert_eq!(Partners::default().authenticate(Credentials::Missing, false), Ok(None));
     assert_eq!(Partners::default().authenticate(key("key-1"), false), Ok(None));
 }
 
 /// A key in the debug output of a table would end up in a log.
 #[test]
-fn keys_do_not_show() {
+fn keys_are_not_in_debug_output() {
     let shown = format!("{:?}", partners());
     let hash = blake3::hash(b"key-1");
     assert!(!shown.contains("key-1") && !shown.contains(&hash.to_hex()[..8]), "{shown}");
--- a/crates/core/tests/relay/routes.rs
+++ b/crates/core/tests/relay/routes.rs
@@ -38,7 +38,7 @@
 #[case("shop.example", "/c/", None)]
 #[case("other.example", "/a/x", Some("other"))]
 #[case("", "/a/x", None)]
-fn the_longest_prefix_of_the_host_counts(
+fn the_longest_matching_prefix_of_the_host_is_found(
     #[case] host: &str,
     #[case] path: &str,
     #[case] found: Option<&str>,
@@ -62,25 +62,25 @@
 }
 
 #[test]
-fn a_route_without_weights_leads_nowhere() {
+fn a_route_without_weights_has_no_destination() {
     assert_eq!(route("r", "h", "/", &[("a", 0)]).destination(7), None);
     assert_eq!(route("r", "h", "/", &[]).destination(7), None);
 }
 
-/// A store that lost its newest contents, or a reader of an old copy, hands out a version from before. Callers would
-/// be sent to a service that the operator has taken out of use.
+/// A store that lost its newest contents, or a reader of an old copy, returns an earlier version. Callers
+/// would be sent to a service that the operator has taken out of use.
 #[test]
-fn an_older_table_takes_nobodys_place() {
+fn an_older_table_replaces_no_newer_one() {
     let (old, new) = (table(4, Vec::new()), table(7, Vec::new()));
     assert!(old.is_replaced_by(&new));
     assert!(!new.is_replaced_by(&old));
     assert!(!new.is_replaced_by(&new.clone()));
 }
 
-/// A daemon that has just started knows no table. An empty one would tell callers that their routes do not exist, and
-/// they would not ask again.
+/// A daemon that has just started knows no table. An empty one would tell callers that their routes do not
+/// exist, and they would not retry.
 #[test]
-fn an_unknown_table_is_told_from_an_empty_one() {
+fn an_unknown_table_differs_from_an_empty_one() {
     assert!(!RouteTable::default().is_known());
     assert!(table(1, Vec::new()).is_known());
 }
--- a/crates/core/tests/relay/simulation.rs
+++ b/crates/core/tests/relay/simulation.rs
@@ -1,4 +1,4 @@
-//! A pool of engines in virtual time, with one or several daemons in front.
+//! An engine pool in virtual time, with one or several daemons in front.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -11,16 +11,16 @@
 use hibiscusvale_core::sched::FailureCause;
 use hibiscusvale_core::units::{Millis, MonoTime, Tokens};
 
-/// Tokens that a reading engine takes in a millisecond.
-const READ_TOKENS_PER_MS: u64 = 55;
+/// Tokens that a prefill engine prefills per millisecond.
+const PREFILL_TOKENS_PER_MS: u64 = 55;
 
-/// Tokens that a writing engine makes for one request in a millisecond.
-const WRITE_TOKENS_PER_MS_HUNDREDTHS: u64 = 172;
+/// Hundredths of a token that a decode engine decodes per millisecond for one request.
+const DECODE_TOKENS_PER_MS_HUNDREDTHS: u64 = 172;
 
 /// Time between two events of an answer.
 const EVENT_MS: Millis = Millis(50);
 
-/// Time of a message between a daemon and an engine.
+/// Transit time of a message between a daemon and an engine.
 const MESSAGE_MS: u64 = 1;
 
 pub fn server(name: &str) -> BackendServerId {
@@ -32,7 +32,7 @@
 }
 
 pub fn listed(name: &str, role: Role) -> ListedEngine {
-    ListedEngine { server: server(name), role, slots: 12, leaving: false, near: true }
+    ListedEngine { server: server(name), role, slots: 12, leaving: false, is_local: true }
 }
 
 pub fn settings() -> EnginePoolSettings {
@@ -55,27 +55,27 @@
         target_ms: Millis(900),
         waited_ms: Millis::ZERO,
         gap_target_ms: Some(Millis(300)),
-        patience_ms: Millis(2_700),
+        max_wait_ms: Millis(2_700),
         priority: 1,
     }
 }
 
-/// A pool with its clock and the actions that it has wanted so far.
-pub struct Bench {
+/// A pool with its clock and the actions that it has requested so far.
+pub struct Harness {
     pub pool: EnginePool,
     pub now_us: MonoTime,
     pub actions: Vec<EngineAction>,
 }
 
-impl Bench {
+impl Harness {
     pub fn new(settings: EnginePoolSettings, engines: &[(&str, Role)]) -> Self {
-        let mut bench = Self {
+        let mut harness = Self {
             pool: EnginePool::new(settings, &"entry-0".parse().unwrap(), 0),
             now_us: MonoTime::default(),
             actions: Vec::new(),
         };
-        bench.feed(EngineEvent::Engines(engines.iter().map(|&(name, role)| listed(name, role)).collect()));
-        bench
+        harness.feed(EngineEvent::Engines(engines.iter().map(|&(name, role)| listed(name, role)).collect()));
+        harness
     }
 
     pub fn after(&mut self, wait_ms: u64) -> &mut Self {
@@ -83,7 +83,7 @@
         self
     }
 
-    /// Feeds an event and returns what is to be done, without wishes to be woken.
+    /// Feeds an event and returns the resulting actions without `Wake`.
     pub fn feed(&mut self, event: EngineEvent) -> Vec<EngineAction> {
         let mut actions = Vec::new();
         self.pool.handle(self.now_us, event, &mut actions);
@@ -93,15 +93,15 @@
     }
 
     pub fn arrive(&mut self, demand: Demand) -> Vec<EngineAction> {
-        self.feed(EngineEvent::Arrive(demand))
+        self.feed(EngineEvent::Arrived(demand))
     }
 
     pub fn reserved(&mut self, sequence: u64) -> Vec<EngineAction> {
         self.feed(EngineEvent::Reserved { request_id: request_id(sequence) })
     }
 
-    pub fn prompt_read(&mut self, sequence: u64) -> Vec<EngineAction> {
-        self.feed(EngineEvent::PromptRead { request_id: request_id(sequence) })
+    pub fn prefilled(&mut self, sequence: u64) -> Vec<EngineAction> {
+        self.feed(EngineEvent::Prefilled { request_id: request_id(sequence) })
     }
 
     pub fn progress(&mut self, sequence: u64, events: u64) {
@@ -109,41 +109,42 @@
         self.feed(EngineEvent::Progress { request_id: request_id(sequence), events, longest_pause_ms });
     }
 
-    pub fn write_failed(&mut self, sequence: u64, cause: FailureCause) -> Vec<EngineAction> {
-        self.feed(EngineEvent::WriteFailed { request_id: request_id(sequence), cause })
+    pub fn decode_failed(&mut self, sequence: u64, cause: FailureCause) -> Vec<EngineAction> {
+        self.feed(EngineEvent::DecodeFailed { request_id: request_id(sequence), cause })
     }
 }
 
-/// How a caller fared.
+/// Outcome of a request for its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Fate {
+pub enum Outcome {
     InTime,
     Late,
     Refused { at_ms: u64 },
 }
 
-/// A request at a writer: its memory is what was reserved until the answer begins, then its prompt and what is written.
+/// A request at a decode engine: its memory is what was reserved until the answer begins, then its prompt and
+/// the decoded tokens.
 struct Run {
     reserved: u64,
     prompt: u64,
     answer: u64,
-    begun_ms: Option<u64>,
+    started_ms: Option<u64>,
 }
 
 impl Run {
     fn tokens(&self, at_ms: u64) -> u64 {
-        let Some(begun_ms) = self.begun_ms else {
+        let Some(started_ms) = self.started_ms else {
             return self.reserved;
         };
-        let written = at_ms.saturating_sub(begun_ms) * WRITE_TOKENS_PER_MS_HUNDREDTHS / 100;
-        self.prompt + written.min(self.answer)
+        let decoded = at_ms.saturating_sub(started_ms) * DECODE_TOKENS_PER_MS_HUNDREDTHS / 100;
+        self.prompt + decoded.min(self.answer)
     }
 }
 
-/// What the engines have, as they know it themselves.
+/// Actual state of an engine.
 #[derive(Default)]
 struct Engine {
-    reading_until_ms: u64,
+    prefill_until_ms: u64,
     held: HashMap<RequestId, Run>,
 }
 
@@ -153,7 +154,7 @@
     }
 }
 
-/// A request as its caller sent it, and the length that its answer will have.
+/// A request as sent by its caller, and the length that its answer will have.
 struct Expected {
     arrived_ms: u64,
     prompt: u64,
@@ -161,31 +162,31 @@
 }
 
 enum Event {
-    Arrive { daemon: usize, demand: Demand, answer_tokens: u64 },
+    Arrived { daemon: usize, demand: Demand, answer_tokens: u64 },
     Feed { daemon: usize, event: EngineEvent },
-    Finish { daemon: usize, writer: BackendServerId, request_id: RequestId, events: u64 },
+    Finish { daemon: usize, decode_engine: BackendServerId, request_id: RequestId, events: u64 },
 }
 
-/// Several daemons before the same engines.
-pub struct World {
+/// Several daemons in front of the same engines.
+pub struct Simulation {
     daemons: Vec<EnginePool>,
     engines: HashMap<BackendServerId, Engine>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: HashMap<u64, Event>,
     next_event: u64,
     answers: HashMap<RequestId, Expected>,
-    tells_peers: bool,
+    shares_usage: bool,
     memory_tokens: u64,
-    /// How each caller fared.
-    pub fates: HashMap<RequestId, Fate>,
-    /// Most memory that any writer was given, in tokens.
+    /// Outcome of each request.
+    pub outcomes: HashMap<RequestId, Outcome>,
+    /// Largest memory used on any decode engine, in tokens.
     pub peak_tokens: u64,
-    /// Reservations that engines refused.
+    /// Number of reservations that engines refused.
     pub refused_reservations: u64,
 }
 
-impl World {
-    pub fn new(daemons: usize, engines: &[(&str, Role)], tells_peers: bool) -> Self {
+impl Simulation {
+    pub fn new(daemons: usize, engines: &[(&str, Role)], shares_usage: bool) -> Self {
         let list: Vec<ListedEngine> = engines.iter().map(|&(name, role)| listed(name, role)).collect();
         let pool = |index| {
             let mut pool = EnginePool::new(settings(), &format!("entry-{index}").parse().unwrap(), index);
@@ -199,9 +200,9 @@
             events: HashMap::new(),
             next_event: 0,
             answers: HashMap::new(),
-            tells_peers,
+            shares_usage,
             memory_tokens: settings().memory_tokens.0,
-            fates: HashMap::new(),
+            outcomes: HashMap::new(),
             peak_tokens: 0,
             refused_reservations: 0,
         }
@@ -214,22 +215,22 @@
     }
 
     pub fn arrive_at(&mut self, at_ms: u64, daemon: usize, demand: Demand, answer_tokens: u64) {
-        self.schedule(at_ms, Event::Arrive { daemon, demand, answer_tokens });
+        self.schedule(at_ms, Event::Arrived { daemon, demand, answer_tokens });
     }
 
     pub fn run(&mut self) {
         while let Some(Reverse((at_ms, number))) = self.queue.pop() {
             match self.events.remove(&number) {
-                Some(Event::Arrive { daemon, demand, answer_tokens }) => {
+                Some(Event::Arrived { daemon, demand, answer_tokens }) => {
                     let prompt = demand.prompt_tokens.0;
                     let expected = Expected { arrived_ms: at_ms, prompt, answer: answer_tokens };
                     self.answers.insert(demand.request_id, expected);
-                    self.feed(at_ms, daemon, EngineEvent::Arrive(demand));
+                    self.feed(at_ms, daemon, EngineEvent::Arrived(demand));
                 }
                 Some(Event::Feed { daemon, event }) => self.feed(at_ms, daemon, event),
-                Some(Event::Finish { daemon, writer, request_id, events }) => {
-                    let engine = self.engines.get_mut(&writer).unwrap();
-                    // Memory is fullest just before one ends.
+                Some(Event::Finish { daemon, decode_engine, request_id, events }) => {
+                    let engine = self.engines.get_mut(&decode_engine).unwrap();
+                    // Memory is largest just before a request ends.
                     self.peak_tokens = self.peak_tokens.max(engine.tokens(at_ms));
                     engine.held.remove(&request_id);
                     self.feed(at_ms, daemon, EngineEvent::Finished { request_id, events });
@@ -241,37 +242,37 @@
 
     fn feed(&mut self, at_ms: u64, daemon: usize, event: EngineEvent) {
         let now_us = MonoTime::default() + Millis(at_ms);
-        let is_news = !matches!(event, EngineEvent::Peer { .. } | EngineEvent::Tick);
+        let is_update = !matches!(event, EngineEvent::Peer { .. } | EngineEvent::Tick);
         let mut actions = Vec::new();
         self.daemons[daemon].handle(now_us, event, &mut actions);
         for action in actions {
-            self.carry_out(at_ms, daemon, action);
+            self.execute(at_ms, daemon, action);
         }
-        if is_news && self.tells_peers {
-            self.tell(at_ms, daemon);
+        if is_update && self.shares_usage {
+            self.share_usage(at_ms, daemon);
         }
     }
 
-    fn tell(&mut self, at_ms: u64, daemon: usize) {
-        let holdings = self.daemons[daemon].holdings(MonoTime::default() + Millis(at_ms));
+    fn share_usage(&mut self, at_ms: u64, daemon: usize) {
+        let usage = self.daemons[daemon].usage(MonoTime::default() + Millis(at_ms));
         let host: HostId = format!("entry-{daemon}").parse().unwrap();
         for other in (0..self.daemons.len()).filter(|&other| other != daemon) {
-            let event = EngineEvent::Peer { host: host.clone(), holdings: holdings.clone() };
+            let event = EngineEvent::Peer { host: host.clone(), usage: usage.clone() };
             self.schedule(at_ms + MESSAGE_MS, Event::Feed { daemon: other, event });
         }
     }
 
-    fn carry_out(&mut self, at_ms: u64, daemon: usize, action: EngineAction) {
+    fn execute(&mut self, at_ms: u64, daemon: usize, action: EngineAction) {
         match action {
             EngineAction::Wake { at_us } => {
                 self.schedule(at_us.0.div_ceil(1_000), Event::Feed { daemon, event: EngineEvent::Tick });
             }
-            EngineAction::Reserve { request_id, writer, tokens, .. } => {
-                let engine = self.engines.get_mut(&writer).unwrap();
+            EngineAction::Reserve { request_id, decode_engine, tokens, .. } => {
+                let engine = self.engines.get_mut(&decode_engine).unwrap();
                 let taken = engine.tokens(at_ms);
                 let event = if taken + tokens.0 <= self.memory_tokens && engine.held.len() < 12 {
                     let Expected { prompt, answer, .. } = self.answers[&request_id];
-                    let run = Run { reserved: tokens.0, prompt, answer, begun_ms: None };
+                    let run = Run { reserved: tokens.0, prompt, answer, started_ms: None };
                     engine.held.insert(request_id, run);
                     self.peak_tokens = self.peak_tokens.max(taken + tokens.0);
                     EngineEvent::Reserved { request_id }
@@ -281,39 +282,39 @@
                 };
                 self.schedule(at_ms + 2 * MESSAGE_MS, Event::Feed { daemon, event });
             }
-            EngineAction::Read { request_id, reader, .. } => {
-                let engine = self.engines.get_mut(&reader).unwrap();
-                let begins_ms = engine.reading_until_ms.max(at_ms + MESSAGE_MS);
-                engine.reading_until_ms = begins_ms + 5_200 / READ_TOKENS_PER_MS;
-                let at_ms = engine.reading_until_ms + MESSAGE_MS;
-                self.schedule(at_ms, Event::Feed { daemon, event: EngineEvent::PromptRead { request_id } });
+            EngineAction::Prefill { request_id, prefill_engine, .. } => {
+                let engine = self.engines.get_mut(&prefill_engine).unwrap();
+                let starts_ms = engine.prefill_until_ms.max(at_ms + MESSAGE_MS);
+                engine.prefill_until_ms = starts_ms + 5_200 / PREFILL_TOKENS_PER_MS;
+                let at_ms = engine.prefill_until_ms + MESSAGE_MS;
+                self.schedule(at_ms, Event::Feed { daemon, event: EngineEvent::Prefilled { request_id } });
             }
-            EngineAction::Write { request_id, writer, .. } => {
+            EngineAction::Decode { request_id, decode_engine, .. } => {
                 let Expected { arrived_ms, answer, .. } = self.answers[&request_id];
                 let first_ms = at_ms + 2 * MESSAGE_MS;
-                let engine = self.engines.get_mut(&writer).unwrap();
+                let engine = self.engines.get_mut(&decode_engine).unwrap();
                 if let Some(run) = engine.held.get_mut(&request_id) {
-                    run.begun_ms = Some(first_ms);
+                    run.started_ms = Some(first_ms);
                 }
-                let fate = if first_ms <= arrived_ms + 900 { Fate::InTime } else { Fate::Late };
-                self.fates.insert(request_id, fate);
+                let outcome = if first_ms <= arrived_ms + 900 { Outcome::InTime } else { Outcome::Late };
+                self.outcomes.insert(request_id, outcome);
                 self.schedule(first_ms, Event::Feed { daemon, event: EngineEvent::Started { request_id } });
-                let ends_ms = first_ms + answer * 100 / WRITE_TOKENS_PER_MS_HUNDREDTHS;
+                let ends_ms = first_ms + answer * 100 / DECODE_TOKENS_PER_MS_HUNDREDTHS;
                 let mut events = 1;
                 while events < answer / 86 {
-                    let at_ms = first_ms + events * 86 * 100 / WRITE_TOKENS_PER_MS_HUNDREDTHS;
+                    let at_ms = first_ms + events * 86 * 100 / DECODE_TOKENS_PER_MS_HUNDREDTHS;
                     let event = EngineEvent::Progress { request_id, events, longest_pause_ms: EVENT_MS };
                     self.schedule(at_ms, Event::Feed { daemon, event });
                     events *= 2;
                 }
-                let finish = Event::Finish { daemon, writer, request_id, events: answer / 86 };
+                let finish = Event::Finish { daemon, decode_engine, request_id, events: answer / 86 };
                 self.schedule(ends_ms, finish);
             }
-            // Nobody here says that it could lend.
+            // No daemon here reports credit that it could lend.
             EngineAction::Borrow(_) => {}
             EngineAction::Refuse { request_id, .. } | EngineAction::Unknown { request_id } => {
                 let arrived_ms = self.answers[&request_id].arrived_ms;
-                self.fates.insert(request_id, Fate::Refused { at_ms: at_ms - arrived_ms });
+                self.outcomes.insert(request_id, Outcome::Refused { at_ms: at_ms - arrived_ms });
             }
         }
     }
--- a/crates/router/src/relay/budget.rs
+++ b/crates/router/src/relay/budget.rs
@@ -6,7 +6,7 @@
 
 use hibiscusvale_core::allowance::{AllowanceSettings, TRY};
 use hibiscusvale_core::relay::engines::EnginePoolSettings;
-use hibiscusvale_core::relay::recipients::Reach;
+use hibiscusvale_core::relay::recipients::BroadcastScope;
 use hibiscusvale_core::sched::{InstanceSettings, PlainSettings};
 use hibiscusvale_core::units::{Credit, Millis};
 
@@ -39,11 +39,11 @@
 }
 
 /// Settings of the engine pools.
-pub fn engines(bounds: &BoundSettings, daemons: u64, reach: Reach) -> EnginePoolSettings {
+pub fn engines(bounds: &BoundSettings, daemons: u64, reach: BroadcastScope) -> EnginePoolSettings {
     EnginePoolSettings {
         retries: allowance(bounds, daemons),
         instance: INSTANCE_SETTINGS,
-        near_first: reach == Reach::DataCentre,
+        prefer_local: reach == BroadcastScope::DataCentre,
         ..EnginePoolSettings::default()
     }
 }
--- a/crates/router/src/relay/callers.rs
+++ b/crates/router/src/relay/callers.rs
@@ -173,7 +173,7 @@
             {
                 state.quotas.refund(state, &QuotaOwner::Partner(partner.clone()), incoming.charged);
             }
-            state.caller_waits.lock().refused(clock::now(), &incoming.route.name);
+            state.caller_waits.lock().record_refusal(clock::now(), &incoming.route.name);
         }
     }
     answered
@@ -220,7 +220,7 @@
         state.log.refused_in_quarantine(&call.id, fingerprint, left_ms);
     })?;
     let charged = charge(state, &call, partner).await?;
-    let waited_ms = state.caller_waits.lock().waited(clock::now(), &route.name, call.wait_ms);
+    let waited_ms = state.caller_waits.lock().estimate(clock::now(), &route.name, call.wait_ms);
     state.open.fetch_add(1, Ordering::Relaxed);
     Ok(Incoming {
         request_id,
--- a/crates/router/src/relay/daemon.rs
+++ b/crates/router/src/relay/daemon.rs
@@ -8,7 +8,7 @@
 
 use arc_swap::ArcSwap;
 use hibiscusvale_core::ids::Incarnation;
-use hibiscusvale_core::relay::recipients::Reach;
+use hibiscusvale_core::relay::recipients::BroadcastScope;
 use hibiscusvale_core::relay::routes::{RouteTable, TableVersion};
 use hibiscusvale_core::units::Millis;
 use parking_lot::Mutex;
@@ -117,7 +117,7 @@
                 asks.clone(),
             ),
             engine_hub: EngineHub::new(
-                budget::engines(&settings.bounds, ASSUMED_DAEMONS, Reach::default()),
+                budget::engines(&settings.bounds, ASSUMED_DAEMONS, BroadcastScope::default()),
                 &settings.host,
                 incarnation.seed(),
                 asks,
--- a/crates/router/src/relay/engine_hub.rs
+++ b/crates/router/src/relay/engine_hub.rs
@@ -6,8 +6,8 @@
 
 use hibiscusvale_core::ids::{BackendServerId, DataCentreId, HostId, RequestId};
 use hibiscusvale_core::relay::engines::{
-    Demand, EngineAction, EngineCounters, EngineEvent, EnginePool, EnginePoolSettings, Holdings,
-    ListedEngine, Role, Shift,
+    Demand, EngineAction, EngineCounters, EngineEvent, EnginePool, EnginePoolSettings, ListedEngine,
+    PoolUsage, Role, RoleChange,
 };
 use hibiscusvale_core::relay::routes::RouteTable;
 use hibiscusvale_core::sched::LimitReached;
@@ -74,14 +74,14 @@
 /// How soon the other daemons need to learn of the change that an event causes.
 fn urgency_of(event: &EngineEvent) -> Urgency {
     match event {
-        EngineEvent::PromptRead { .. } | EngineEvent::Started { .. } | EngineEvent::Progress { .. } => {
+        EngineEvent::Prefilled { .. } | EngineEvent::Started { .. } | EngineEvent::Progress { .. } => {
             Urgency::Later
         }
-        EngineEvent::Arrive(_)
+        EngineEvent::Arrived(_)
         | EngineEvent::Reserved { .. }
         | EngineEvent::ReserveFailed { .. }
-        | EngineEvent::ReadFailed { .. }
-        | EngineEvent::WriteFailed { .. }
+        | EngineEvent::PrefillFailed { .. }
+        | EngineEvent::DecodeFailed { .. }
         | EngineEvent::Finished { .. }
         | EngineEvent::CallerLeft { .. }
         | EngineEvent::Engines(_)
@@ -123,7 +123,7 @@
         let request_id = demand.request_id;
         let hub = &state.engine_hub;
         hub.services.lock().get_mut(service)?.open.insert(request_id, sender);
-        hub.feed(service, EngineEvent::Arrive(demand));
+        hub.feed(service, EngineEvent::Arrived(demand));
         state.peers.schedule_message(Urgency::Soon);
         Some(OpenRequest { service: service.to_owned(), request_id, steps, state: Arc::clone(state) })
     }
@@ -143,7 +143,7 @@
                 },
                 slots: *slots_total,
                 leaving: server.listed == ListedState::Leaving,
-                near: server.data_centre == self.data_centre,
+                is_local: server.data_centre == self.data_centre,
             });
         }
         let names = {
@@ -190,18 +190,18 @@
     }
 
     /// What this daemon holds at the engines, by service.
-    pub fn holdings(&self) -> Vec<(String, Holdings)> {
+    pub fn holdings(&self) -> Vec<(String, PoolUsage)> {
         let services = self.services.lock();
-        services.iter().map(|(name, service)| (name.clone(), service.pool.holdings(clock::now()))).collect()
+        services.iter().map(|(name, service)| (name.clone(), service.pool.usage(clock::now()))).collect()
     }
 
     /// Updates what another daemon holds at the engines.
-    pub fn peer(&self, host: &HostId, holdings: Vec<(String, Holdings)>) {
-        let mut holdings: HashMap<String, Holdings> = holdings.into_iter().collect();
+    pub fn peer(&self, host: &HostId, holdings: Vec<(String, PoolUsage)>) {
+        let mut holdings: HashMap<String, PoolUsage> = holdings.into_iter().collect();
         let names: Vec<String> = self.services.lock().keys().cloned().collect();
         for name in names {
-            let holdings = holdings.remove(&name).unwrap_or_default();
-            self.feed(&name, EngineEvent::Peer { host: host.clone(), holdings });
+            let usage = holdings.remove(&name).unwrap_or_default();
+            self.feed(&name, EngineEvent::Peer { host: host.clone(), usage });
         }
     }
 
@@ -209,23 +209,25 @@
     pub fn peer_gone(&self, host: &HostId) {
         let names: Vec<String> = self.services.lock().keys().cloned().collect();
         for name in names {
-            let holdings = Holdings::of_nobody();
-            self.feed(&name, EngineEvent::Peer { host: host.clone(), holdings });
+            let usage = PoolUsage::cleared();
+            self.feed(&name, EngineEvent::Peer { host: host.clone(), usage });
         }
     }
 
     /// The engines that should change their role next, by service.
-    pub fn next_shifts(&self) -> Vec<(String, Shift)> {
+    pub fn next_shifts(&self) -> Vec<(String, RoleChange)> {
         let now_us = clock::now();
         let mut services = self.services.lock();
         let shifts = services.iter_mut();
-        shifts.filter_map(|(name, service)| Some((name.clone(), service.pool.next_shift(now_us)?))).collect()
+        shifts
+            .filter_map(|(name, service)| Some((name.clone(), service.pool.next_role_change(now_us)?)))
+            .collect()
     }
 
     /// Records that an engine was ordered to change its role, or may have been.
-    pub fn shifted(&self, service: &str, shift: &Shift) {
+    pub fn shifted(&self, service: &str, shift: &RoleChange) {
         if let Some(service) = self.services.lock().get_mut(service) {
-            service.pool.shifted(clock::now(), shift);
+            service.pool.role_change_ordered(clock::now(), shift);
         }
     }
 
@@ -293,8 +295,8 @@
                 EngineAction::Wake { at_us } => self.alarm.set(*at_us),
                 EngineAction::Borrow(ask) => self.asks.send(name, ask.clone()),
                 EngineAction::Reserve { request_id, .. }
-                | EngineAction::Read { request_id, .. }
-                | EngineAction::Write { request_id, .. }
+                | EngineAction::Prefill { request_id, .. }
+                | EngineAction::Decode { request_id, .. }
                 | EngineAction::Refuse { request_id, .. }
                 | EngineAction::Unknown { request_id } => {
                     if let Some(open) = service.open.get(request_id) {
--- a/crates/router/src/relay/exchange.rs
+++ b/crates/router/src/relay/exchange.rs
@@ -79,8 +79,8 @@
         Some(_) => state.bounds.lock().joining_spread(),
         None => Millis::ZERO,
     };
-    let fills_ms = if first_start { FIRST_START_DELAY_MS } else { Millis::ZERO };
-    let settings = JoiningSettings { fills_ms, spread_ms, ..JoiningSettings::default() };
+    let registration_ms = if first_start { FIRST_START_DELAY_MS } else { Millis::ZERO };
+    let settings = JoiningSettings { registration_ms, spread_ms, ..JoiningSettings::default() };
     // A seed that no longer exists answers late or never, so it must not block the others.
     let entries = tokio::select! {
         Some(entries) = state_transfer::fetch_entries_from_seed(state) => entries,
@@ -102,7 +102,7 @@
                     return entries;
                 }
             }
-            JoiningStep::ReadRegister => match register.entries().await {
+            JoiningStep::ReadRegistry => match register.entries().await {
                 Ok(entries) => return entries,
                 Err(failure) => {
                     state.log.changed("register not read", &failure);
--- a/crates/router/src/relay/freshness.rs
+++ b/crates/router/src/relay/freshness.rs
@@ -5,7 +5,7 @@
 
 use hibiscusvale_core::ids::HostId;
 use hibiscusvale_core::relay::routes::TableVersion;
-use hibiscusvale_core::relay::store_refresh::{Reading, ReadingSettings, Told, place};
+use hibiscusvale_core::relay::store_refresh::{PeerReport, RefreshSchedule, RefreshSettings, reader_rank};
 use hibiscusvale_core::units::{Micros, Millis, MonoTime};
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
@@ -87,8 +87,8 @@
 
 #[derive(Debug)]
 struct Readings {
-    table: Reading,
-    servers: Reading,
+    table: RefreshSchedule,
+    servers: RefreshSchedule,
     list: ListState,
     /// Since when another daemon has had a different digest for the same version.
     diverged_since_us: Option<MonoTime>,
@@ -107,8 +107,8 @@
             Feed::Servers => self.servers_announcer.is_some(),
         };
         let reading = reading(self, feed);
-        let read_us = reading.next_us(place);
-        if is_announced { read_us.min(reading.next_ask_us()) } else { read_us }
+        let read_us = reading.next_read_us(place);
+        if is_announced { read_us.min(reading.next_peer_query_us()) } else { read_us }
     }
 
     /// Compares another daemon's server list with this one; returns whether this daemon has to catch up. A
@@ -120,7 +120,7 @@
     /// what the others have and cause reads in turn. So a version that is known here causes no read at once.
     fn compare_servers(&mut self, now_us: MonoTime, announced: ListState, age_us: Option<Micros>) -> bool {
         if announced.version > self.list.version && announced.digest != self.list.digest {
-            return self.servers.heard(now_us, Told { is_same: false, age_us: Micros(0) });
+            return self.servers.peer_reported(now_us, PeerReport { is_same: false, age_us: Micros(0) });
         }
         let Some(age_us) = age_us.filter(|_| announced.version > 0) else {
             return false;
@@ -128,20 +128,20 @@
         if announced.version == self.list.version && announced.digest != self.list.digest {
             let since_us = *self.diverged_since_us.get_or_insert(now_us);
             let is_lasting = now_us >= since_us + DIVERGENCE_TOLERANCE_MS;
-            return self.servers.heard(now_us, Told { is_same: !is_lasting, age_us });
+            return self.servers.peer_reported(now_us, PeerReport { is_same: !is_lasting, age_us });
         }
-        self.servers.heard(now_us, Told { is_same: true, age_us })
+        self.servers.peer_reported(now_us, PeerReport { is_same: true, age_us })
     }
 }
 
 impl Default for Freshness {
     fn default() -> Self {
-        let settings = ReadingSettings::default();
+        let settings = RefreshSettings::default();
         // A read of the routes is a long poll, and new routes are announced at once.
         let table_settings =
-            ReadingSettings { period_ms: TABLE_PERIOD_MS, stale_ms: TABLE_STALE_MS, ..settings };
-        let table = Reading::new(table_settings);
-        let servers = Reading::new(settings);
+            RefreshSettings { period_ms: TABLE_PERIOD_MS, stale_ms: TABLE_STALE_MS, ..settings };
+        let table = RefreshSchedule::new(table_settings);
+        let servers = RefreshSchedule::new(settings);
         let readings = Readings {
             table,
             servers,
@@ -159,8 +159,8 @@
     /// Delays the first reads until `until_us`: other daemons announce what they read.
     pub fn delay_first_reads(&self, until_us: MonoTime) {
         let mut readings = self.readings.lock();
-        readings.table.leave_first_read(until_us);
-        readings.servers.leave_first_read(until_us);
+        readings.table.defer_first_read(until_us);
+        readings.servers.defer_first_read(until_us);
     }
 
     /// The stamp for the next message, given the version of the route table in force.
@@ -177,14 +177,14 @@
     /// Records a successful own read of the routes, current as of `as_of_us`.
     pub fn table_read(&self, as_of_us: MonoTime) {
         let mut readings = self.readings.lock();
-        readings.table.done(as_of_us);
+        readings.table.read_succeeded(as_of_us);
         readings.store_failed_us = None;
     }
 
     /// Records a successful own read of the server list. Returns whether the servers changed.
     pub fn servers_read(&self, begun_us: MonoTime, list: ListState) -> bool {
         let mut readings = self.readings.lock();
-        readings.servers.done(begun_us);
+        readings.servers.read_succeeded(begun_us);
         readings.store_failed_us = None;
         readings.diverged_since_us = None;
         std::mem::replace(&mut readings.list, list).digest != list.digest
@@ -192,7 +192,7 @@
 
     /// Records a failed read.
     pub fn failed(&self, now_us: MonoTime, feed: Feed) {
-        reading(&mut self.readings.lock(), feed).failed();
+        reading(&mut self.readings.lock(), feed).read_failed();
         self.store_failed(now_us);
     }
 
@@ -262,10 +262,10 @@
     /// newer than the current one.
     pub fn servers_transferred(&self, now_us: MonoTime, age_us: Micros, list: ListState) -> bool {
         let mut readings = self.readings.lock();
-        if list.version <= readings.list.version && !readings.servers.is_older(now_us, age_us) {
+        if list.version <= readings.list.version && !readings.servers.is_older_than(now_us, age_us) {
             return false;
         }
-        readings.servers.handed(now_us, age_us);
+        readings.servers.adopted_from_peer(now_us, age_us);
         readings.list = list;
         true
     }
@@ -274,13 +274,13 @@
     pub fn receive_stamp(&self, now_us: MonoTime, table: TableVersion, stamp: Stamp, from: SocketAddr) {
         let mut readings = self.readings.lock();
         if stamp.table > table.0 {
-            readings.table.heard(now_us, Told { is_same: false, age_us: Micros(0) });
+            readings.table.peer_reported(now_us, PeerReport { is_same: false, age_us: Micros(0) });
             readings.table_announcer = Some((TableVersion(stamp.table), from));
             self.table_due.notify_one();
         } else if stamp.table == table.0
             && let Some(age_us) = stamp.table_age_us
         {
-            readings.table.heard(now_us, Told { is_same: true, age_us });
+            readings.table.peer_reported(now_us, PeerReport { is_same: true, age_us });
         }
         if readings.compare_servers(now_us, stamp.servers, stamp.servers_age_us) {
             readings.servers_announcer = Some((stamp.servers.version, from));
@@ -309,7 +309,7 @@
     Servers,
 }
 
-fn reading(readings: &mut Readings, feed: Feed) -> &mut Reading {
+fn reading(readings: &mut Readings, feed: Feed) -> &mut RefreshSchedule {
     match feed {
         Feed::Table => &mut readings.table,
         Feed::Servers => &mut readings.servers,
@@ -323,11 +323,11 @@
         let reaches_store = state.freshness.reaches_store(clock::now());
         // A daemon that cannot read, or does not know the others, ranks after all others.
         let may_read = reaches_store && state.peers.is_register_read();
-        let place = if may_read { place(own, live.iter()) } else { live.len().max(LOWEST_RANK) };
+        let place = if may_read { reader_rank(own, live.iter()) } else { live.len().max(LOWEST_RANK) };
         let next_us = state.freshness.readings.lock().next_us(feed, place);
         let now_us = clock::now();
         if now_us >= next_us {
-            reading(&mut state.freshness.readings.lock(), feed).begin(now_us);
+            reading(&mut state.freshness.readings.lock(), feed).read_started(now_us);
             return now_us;
         }
         let notify = match feed {
--- a/crates/router/src/relay/message.rs
+++ b/crates/router/src/relay/message.rs
@@ -9,7 +9,7 @@
 use hibiscusvale_core::ids::{DataCentreId, HostId, Incarnation};
 use hibiscusvale_core::quarantine::{Fingerprint, Gossip, ReportPage};
 use hibiscusvale_core::quota::LimitStatement;
-use hibiscusvale_core::relay::engines::{Holdings, Seen};
+use hibiscusvale_core::relay::engines::{PoolUsage, WorkloadStats};
 use serde::{Deserialize, Serialize};
 
 use super::freshness::Stamp;
@@ -60,7 +60,7 @@
     /// Server changes that it has just read.
     pub changes: Vec<ServerChange>,
     /// What it holds at the engines, by service.
-    pub holdings: Vec<(String, Holdings)>,
+    pub holdings: Vec<(String, PoolUsage)>,
     /// Its spare retry credit, by service; `None` if unchanged since its previous message.
     pub spares: Option<Spares>,
     /// Evidence of requests that crash servers.
@@ -75,7 +75,7 @@
 /// State that the previous messages carried.
 #[derive(Debug, Default)]
 pub struct AdvertisedState {
-    seen: HashMap<String, Seen>,
+    seen: HashMap<String, WorkloadStats>,
     spares: Spares,
 }
 
@@ -85,14 +85,14 @@
     pub fn delta(
         &mut self,
         sequence: u64,
-        mut holdings: Vec<(String, Holdings)>,
+        mut holdings: Vec<(String, PoolUsage)>,
         spares: Spares,
-    ) -> (Vec<(String, Holdings)>, Option<Spares>) {
+    ) -> (Vec<(String, PoolUsage)>, Option<Spares>) {
         let is_full = sequence % FULL_MESSAGE_INTERVAL == 1;
         for (service, holdings) in &mut holdings {
-            let seen = holdings.seen.unwrap_or_default();
+            let seen = holdings.stats.unwrap_or_default();
             if self.seen.insert(service.clone(), seen) == Some(seen) && !is_full {
-                holdings.seen = None;
+                holdings.stats = None;
             }
         }
         let is_changed = is_full || spares != self.spares;
--- a/crates/router/src/relay/news.rs
+++ b/crates/router/src/relay/news.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use hibiscusvale_core::ids::BackendServerId;
-use hibiscusvale_core::retransmit::Repeats;
+use hibiscusvale_core::retransmit::RetransmitQueue;
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
@@ -80,7 +80,7 @@
 /// Changes for the other daemons: those in the next messages, and those that may be asked for.
 #[derive(Debug, Default)]
 pub struct News {
-    pending: Mutex<Repeats<ServerChange>>,
+    pending: Mutex<RetransmitQueue<ServerChange>>,
     kept: Mutex<VecDeque<ServerChange>>,
 }
 
@@ -98,7 +98,7 @@
 
     /// What goes into the next message, oldest first.
     pub fn next(&self) -> Vec<ServerChange> {
-        self.pending.lock().oldest(usize::MAX)
+        self.pending.lock().take_oldest(usize::MAX)
     }
 
     /// Keeps changes that go on from version `known`, for daemons that ask for them. A gap before them makes all older ones
--- a/crates/router/src/relay/orders.rs
+++ b/crates/router/src/relay/orders.rs
@@ -12,8 +12,8 @@
 use bytes::Bytes;
 use hibiscusvale_core::ids::{DataCentreId, FencingNumber, HostId};
 use hibiscusvale_core::lease::{HeldLease, Lease, LeaseFold, LeaseHolder, LeaseRecord, LeaseSettings};
-use hibiscusvale_core::relay::engines::{Role, Shift};
-use hibiscusvale_core::relay::store_refresh::{ReadingSettings, is_reader};
+use hibiscusvale_core::relay::engines::{Role, RoleChange};
+use hibiscusvale_core::relay::store_refresh::{RefreshSettings, is_reader};
 use hibiscusvale_core::units::{Millis, MonoTime};
 use http::StatusCode;
 
@@ -82,7 +82,7 @@
     async fn tick(&mut self) {
         let live = self.state.peers.hosts_reaching_store();
         let is_eligible = self.state.freshness.reaches_store(clock::now());
-        let single_reader = ReadingSettings { readers: 1, ..ReadingSettings::default() };
+        let single_reader = RefreshSettings { readers: 1, ..RefreshSettings::default() };
         let is_eligible = is_eligible && self.state.peers.is_first_data_centre();
         if !is_eligible || !is_reader(&single_reader, &self.host, live.iter()) || !self.state.is_ready() {
             return;
@@ -171,7 +171,7 @@
 
     /// Orders one engine. The engine's report states how many orders it has accepted, and the order is valid
     /// only for that number, so that one whose answer was lost cannot be executed again after a later one.
-    async fn send_order(&mut self, held: HeldLease, service: &str, shift: &Shift) {
+    async fn send_order(&mut self, held: HeldLease, service: &str, shift: &RoleChange) {
         let state = Arc::clone(&self.state);
         let Some(at) = state.directory.address_of(&shift.server) else {
             return;
--- a/crates/router/src/relay/peers.rs
+++ b/crates/router/src/relay/peers.rs
@@ -7,7 +7,7 @@
 
 use hibiscusvale_core::ids::{DataCentreId, HostId, Incarnation};
 use hibiscusvale_core::quota::Coverage;
-use hibiscusvale_core::relay::recipients::{Audience, Reach};
+use hibiscusvale_core::relay::recipients::{BroadcastScope, Recipients};
 use parking_lot::Mutex;
 use rand::seq::{IndexedRandom, SliceRandom};
 use tokio::sync::watch;
@@ -95,7 +95,7 @@
 struct PeerTable {
     known: HashMap<HostId, Peer>,
     remotes: HashMap<DataCentreId, Remote>,
-    audience: Audience,
+    audience: Recipients,
     /// Whether daemons were added since the audience was computed.
     is_audience_stale: bool,
 }
@@ -104,7 +104,7 @@
     /// Whether a daemon was heard from recently. Of another data centre only some daemons send messages to
     /// this one; the rest count as live along with them.
     fn is_live(&self, host: &Host, peer: &Peer, now: Instant) -> bool {
-        if self.audience.reach == Reach::Everyone || peer.data_centre == host.data_centre {
+        if self.audience.scope == BroadcastScope::AllDaemons || peer.data_centre == host.data_centre {
             return peer.is_heard(now);
         }
         let heard = self.remotes.get(&peer.data_centre).and_then(|remote| remote.heard);
@@ -174,8 +174,8 @@
     }
 
     /// Reach of this daemon's messages.
-    pub fn reach(&self) -> Reach {
-        self.table.lock().audience.reach
+    pub fn reach(&self) -> BroadcastScope {
+        self.table.lock().audience.scope
     }
 
     /// Number of daemons heard from recently.
@@ -192,8 +192,8 @@
         let table = self.table.lock();
         let is_candidate = |peer: &Peer| {
             let exchanges_messages =
-                table.audience.reach == Reach::Everyone || peer.data_centre == self.host.data_centre;
-            let is_settling = table.audience.reach == Reach::DataCentre && now < self.started + SETTLE_TIME;
+                table.audience.scope == BroadcastScope::AllDaemons || peer.data_centre == self.host.data_centre;
+            let is_settling = table.audience.scope == BroadcastScope::DataCentre && now < self.started + SETTLE_TIME;
             exchanges_messages
                 && match peer.heard {
                     Some(heard) => peer.is_heard(now) && heard.reaches_store,
@@ -210,7 +210,7 @@
         let table = self.table.lock();
         let reaches_store =
             |remote: &Remote| remote.store_reached.is_some_and(|heard| now < heard + PEER_TIMEOUT);
-        table.audience.reach == Reach::Everyone
+        table.audience.scope == BroadcastScope::AllDaemons
             || !table
                 .remotes
                 .iter()
@@ -321,7 +321,7 @@
 
     fn update_audience(host: &Host, table: &mut PeerTable) {
         let others = table.known.iter().map(|(host, peer)| (host, &peer.data_centre));
-        table.audience = Audience::of(&host.id, &host.data_centre, others);
+        table.audience = Recipients::select(&host.id, &host.data_centre, others);
         table.is_audience_stale = false;
     }
 
@@ -334,7 +334,7 @@
         if table.is_audience_stale {
             Self::update_audience(&self.host, table);
         }
-        let Audience { reach, ref links, .. } = table.audience;
+        let Recipients { scope, ref links, .. } = table.audience;
         let mut linked = Vec::new();
         for hosts in links.values() {
             let known = || hosts.iter().filter_map(|host| table.known.get(host).map(|peer| (host, peer)));
@@ -343,7 +343,7 @@
             }
         }
         let is_target = |host: &HostId, peer: &Peer| {
-            let is_member = reach == Reach::Everyone || peer.data_centre == self.host.data_centre;
+            let is_member = scope == BroadcastScope::AllDaemons || peer.data_centre == self.host.data_centre;
             if is_member { peer.is_due(now) } else { peer.is_heard(now) || linked.contains(host) }
         };
         let targets = table.known.iter_mut().filter(|(host, peer)| is_target(host, peer));
--- a/crates/router/src/relay/refusal.rs
+++ b/crates/router/src/relay/refusal.rs
@@ -116,7 +116,7 @@
         match refusal {
             EngineRefusal::WouldWaitTooLong => Self::WouldWaitTooLong,
             EngineRefusal::NoEngine => Self::NoServer,
-            EngineRefusal::RetriesSpent => Self::ServersFull,
+            EngineRefusal::RetriesExhausted => Self::ServersFull,
         }
     }
 }
--- a/crates/router/src/relay/state.rs
+++ b/crates/router/src/relay/state.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use hibiscusvale_core::ids::{BackendServerId, Incarnation, PartnerId, RequestId, ServiceId};
 use hibiscusvale_core::quarantine::Fingerprint;
-use hibiscusvale_core::relay::prior_wait::Patience;
+use hibiscusvale_core::relay::prior_wait::PriorWaits;
 use hibiscusvale_core::relay::routes::{Route, RouteTable};
 use hibiscusvale_core::units::{Credit, Millis, Tokens};
 use http::{HeaderMap, Method};
@@ -168,7 +168,7 @@
     /// Age of routes and server list.
     pub freshness: Freshness,
     /// Waiting times of callers by route.
-    pub caller_waits: Mutex<Patience>,
+    pub caller_waits: Mutex<PriorWaits>,
     /// Server changes for other daemons.
     pub server_changes: ServerChangeLog,
     /// Budget of state transfer to other daemons.
--- a/crates/router/src/relay/stream.rs
+++ b/crates/router/src/relay/stream.rs
@@ -88,7 +88,7 @@
         target_ms: incoming.route.target_ms,
         waited_ms: incoming.waited_ms,
         gap_target_ms: incoming.route.gap_target_ms,
-        patience_ms: Millis(incoming.route.target_ms.0 * QUEUE_WAIT_FACTOR).min(incoming.left_ms()),
+        max_wait_ms: Millis(incoming.route.target_ms.0 * QUEUE_WAIT_FACTOR).min(incoming.left_ms()),
         priority: incoming.route.priority,
     }
 }
@@ -166,45 +166,45 @@
             };
             let Some(action) = step else { break };
             match action {
-                EngineAction::Reserve { writer, tokens, keep_ms, timeout_ms, .. } => {
-                    let event = match self.reserve(&writer, tokens, keep_ms, timeout_ms).await {
+                EngineAction::Reserve { decode_engine, tokens, keep_ms, timeout_ms, .. } => {
+                    let event = match self.reserve(&decode_engine, tokens, keep_ms, timeout_ms).await {
                         Ok(reservation) => {
                             self.reservation = Some(reservation);
                             EngineEvent::Reserved { request_id }
                         }
                         Err(cause) => {
-                            self.incoming.record_step(Step::ReserveFailed(cause), &writer);
+                            self.incoming.record_step(Step::ReserveFailed(cause), &decode_engine);
                             EngineEvent::ReserveFailed { request_id, cause }
                         }
                     };
                     self.open.feed(event);
                 }
-                EngineAction::Read { reader, timeout_ms, .. } => {
-                    let event = match self.prefill(&reader, timeout_ms).await {
+                EngineAction::Prefill { prefill_engine, timeout_ms, .. } => {
+                    let event = match self.prefill(&prefill_engine, timeout_ms).await {
                         Ok(prefilled) => {
-                            self.incoming.record_step(Step::Prefilled, &reader);
+                            self.incoming.record_step(Step::Prefilled, &prefill_engine);
                             self.prefilled = Some(prefilled);
-                            EngineEvent::PromptRead { request_id }
+                            EngineEvent::Prefilled { request_id }
                         }
                         Err(cause) => {
-                            self.incoming.record_step(Step::PrefillFailed(cause), &reader);
+                            self.incoming.record_step(Step::PrefillFailed(cause), &prefill_engine);
                             self.reservation = None;
-                            EngineEvent::ReadFailed { request_id, cause }
+                            EngineEvent::PrefillFailed { request_id, cause }
                         }
                     };
                     self.open.feed(event);
                 }
-                EngineAction::Write { writer, reader, .. } => {
-                    let source = reader.and_then(|_| self.prefilled.take());
-                    match self.decode(&writer, source).await {
+                EngineAction::Decode { decode_engine, prefill_engine, .. } => {
+                    let source = prefill_engine.and_then(|_| self.prefilled.take());
+                    match self.decode(&decode_engine, source).await {
                         Ok(reply) => {
-                            self.incoming.record_step(Step::Decoding, &writer);
+                            self.incoming.record_step(Step::Decoding, &decode_engine);
                             return Ok(reply);
                         }
                         Err(cause) => {
                             self.outcome_unknown |= cause.may_have_run();
-                            self.incoming.record_step(Step::DecodeFailed(cause), &writer);
-                            self.open.feed(EngineEvent::WriteFailed { request_id, cause });
+                            self.incoming.record_step(Step::DecodeFailed(cause), &decode_engine);
+                            self.open.feed(EngineEvent::DecodeFailed { request_id, cause });
                         }
                     }
                 }
@@ -344,7 +344,7 @@
     /// Resumes the stream at another engine after the last event.
     pub(super) async fn resume(&mut self, cause: FailureCause) -> Result<ServerBody, BodyBroken> {
         let request_id = self.incoming.request_id;
-        self.open.feed(EngineEvent::WriteFailed { request_id, cause });
+        self.open.feed(EngineEvent::DecodeFailed { request_id, cause });
         let deadline = self.incoming.deadline;
         let reply = match tokio::time::timeout_at(deadline, self.run_until_answered()).await {
             Ok(Ok(reply)) if reply.status.is_success() => reply,
--- a/crates/router/src/relay/watch.rs
+++ b/crates/router/src/relay/watch.rs
@@ -6,8 +6,8 @@
 use std::sync::atomic::Ordering;
 
 use hibiscusvale_core::ids::HostId;
-use hibiscusvale_core::relay::expired_entries::Lapses;
-use hibiscusvale_core::relay::recipients::Reach;
+use hibiscusvale_core::relay::expired_entries::ExpiredEntries;
+use hibiscusvale_core::relay::recipients::BroadcastScope;
 use hibiscusvale_core::relay::routes::RouteTable;
 use hibiscusvale_core::units::Millis;
 
@@ -39,7 +39,7 @@
 /// random time, so that not all daemons read at once if the readers fail.
 async fn delay_first_reads(state: &RelayState) {
     state.peers.wait_for_register().await;
-    if state.peers.reach() == Reach::DataCentre || !state.peers.is_register_read() {
+    if state.peers.reach() == BroadcastScope::DataCentre || !state.peers.is_register_read() {
         let delay_ms = rand::rng().random_range(FIRST_READ_DELAY_MS);
         state.freshness.delay_first_reads(clock::now() + Millis(delay_ms));
     }
@@ -59,7 +59,7 @@
             }
             // The announcer gets requests of hundreds of daemons at once. Another daemon will announce the
             // same version; if not, this one reads from the store once its routes are too old.
-            NewerTable::At(_) if state.peers.reach() == Reach::DataCentre => continue,
+            NewerTable::At(_) if state.peers.reach() == BroadcastScope::DataCentre => continue,
             NewerTable::InForce => {
                 state.freshness.table_learned();
                 continue;
@@ -112,20 +112,20 @@
 /// Keeps the server list up to date for as long as the daemon runs.
 pub async fn follow_servers(list: Arc<dyn HostList>, own: HostId, state: Arc<RelayState>) {
     let mut dependency = Dependency::new("servers lost", "servers regained");
-    let mut lapses = Lapses::default();
+    let mut lapses = ExpiredEntries::default();
     delay_first_reads(&state).await;
     loop {
         let begun_us = wait_until_due(&state, &own, Feed::Servers).await;
         if let Some(announcer) = state.freshness.newer_servers(state.directory.listing().version)
             && (state_transfer::fetch_server_changes(&state, announcer).await
-                || state.peers.reach() == Reach::DataCentre)
+                || state.peers.reach() == BroadcastScope::DataCentre)
         {
             continue;
         }
         match list.read(state.directory.listing().version, LIST_WAIT_MS).await {
             Ok(page) => {
                 dependency.report_success(&state);
-                lapses.read(clock::now());
+                lapses.read_succeeded(clock::now());
                 let before = state.directory.listing();
                 apply_page(&state, &mut lapses, page);
                 let after = state.directory.listing();
@@ -138,7 +138,7 @@
                 state.peers.schedule_message(Urgency::Soon);
             }
             Err(failure) => {
-                lapses.lost();
+                lapses.read_failed();
                 dependency.report_failure(&state, &failure);
                 state.freshness.failed(clock::now(), Feed::Servers);
                 catch_up(&state).await;
@@ -148,7 +148,7 @@
 }
 
 /// Applies a page to the directory; vanished entries are kept until their absence is conclusive.
-fn apply_page(state: &RelayState, lapses: &mut Lapses, page: HostListPage) {
+fn apply_page(state: &RelayState, lapses: &mut ExpiredEntries, page: HostListPage) {
     let known = state.directory.listing();
     let (set, vanished) = match page.change {
         HostListChange::Whole(hosts) if known.version == 0 => {
@@ -164,7 +164,7 @@
         }
         HostListChange::Some { set, remove } => (set, remove),
     };
-    let gone = lapses.filter(clock::now(), vanished, set.iter().map(|host| &host.id));
+    let gone = lapses.confirm_gone(clock::now(), vanished, set.iter().map(|host| &host.id));
     let change = HostListChange::Some { set, remove: gone };
     state.directory.take(HostListPage { version: page.version, change });
 }
