--- a/crates/router/src/relay/forwarding.rs
+++ b/crates/router/src/relay/forwarding.rs
@@ -118,7 +118,7 @@
     fn abort(&self, cause: FailureCause) -> BodyBroken {
         self.request.incoming.set_outcome(cause_label(cause));
         let request_id = self.request.incoming.request_id;
-        self.request.open.feed(EngineEvent::WriteFailed { request_id, cause });
+        self.request.open.feed(EngineEvent::DecodeFailed { request_id, cause });
         BodyBroken
     }
 
--- a/crates/router/src/relay/interfaces.rs
+++ b/crates/router/src/relay/interfaces.rs
@@ -10,7 +10,7 @@
 use futures_util::future::BoxFuture;
 use hibiscusvale_core::ids::{BackendServerId, DataCentreId, FencingNumber, HostId, ModelId, PartnerId};
 use hibiscusvale_core::quarantine::{Fingerprint, Report};
-use hibiscusvale_core::relay::engines::{Role, ToldLoad};
+use hibiscusvale_core::relay::engines::{ReportedLoad, Role};
 use hibiscusvale_core::relay::partners::Credentials;
 use hibiscusvale_core::relay::routes::RouteTable;
 use hibiscusvale_core::units::{CreditPerSecond, Millis, Tokens};
@@ -210,7 +210,7 @@
     /// Whether the body has a content encoding that was not requested.
     pub encoded: bool,
     /// Load reported by the server.
-    pub load: Option<ToldLoad>,
+    pub load: Option<ReportedLoad>,
     /// Request rate limit of the server for all daemons together, in thousandths of a request per second;
     /// `None` if it states no limit.
     pub limit: Option<CreditPerSecond>,
--- a/crates/router/src/relay/peers.rs
+++ b/crates/router/src/relay/peers.rs
@@ -191,9 +191,10 @@
         let now = Instant::now();
         let table = self.table.lock();
         let is_candidate = |peer: &Peer| {
-            let exchanges_messages =
-                table.audience.scope == BroadcastScope::AllDaemons || peer.data_centre == self.host.data_centre;
-            let is_settling = table.audience.scope == BroadcastScope::DataCentre && now < self.started + SETTLE_TIME;
+            let exchanges_messages = table.audience.scope == BroadcastScope::AllDaemons
+                || peer.data_centre == self.host.data_centre;
+            let is_settling =
+                table.audience.scope == BroadcastScope::DataCentre && now < self.started + SETTLE_TIME;
             exchanges_messages
                 && match peer.heard {
                     Some(heard) => peer.is_heard(now) && heard.reaches_store,
--- a/crates/router/src/relay/server_changes.rs
+++ b/crates/router/src/relay/server_changes.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use hibiscusvale_core::ids::BackendServerId;
-use hibiscusvale_core::repeats::Repeats;
+use hibiscusvale_core::retransmit::RetransmitQueue;
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
@@ -86,7 +86,7 @@
 /// Server changes for the other daemons: those pending for the next messages, and a history for requests.
 #[derive(Debug, Default)]
 pub struct ServerChangeLog {
-    pending: Mutex<Repeats<ServerChange>>,
+    pending: Mutex<RetransmitQueue<ServerChange>>,
     history: Mutex<VecDeque<ServerChange>>,
 }
 
@@ -106,7 +106,7 @@
 
     /// The changes for the next message, oldest first.
     pub fn next_batch(&self) -> Vec<ServerChange> {
-        self.pending.lock().oldest(usize::MAX)
+        self.pending.lock().take_oldest(usize::MAX)
     }
 
     /// Appends changes that continue from version `known` to the history, for daemons that request them. A
