--- a/crates/core/src/allowance.rs
+++ b/crates/core/src/allowance.rs
@@ -1,18 +1,19 @@
-//! This daemon's part of the further tries that all daemons may make together.
+//! Retry budget of one daemon, with loans between daemons.
 //!
-//! The allowance is one for the installation: in each window of some seconds a part of the requests, and some tries beyond
-//! that (`slack`). Daemons that cannot reach each other cannot agree on its use, so each owns a part of the slack, and what
-//! the requests that it took itself earn. Among hundreds of daemons a part is less than one try, or little more, while
-//! the allowance of all is mostly unused. So parts are lent: a daemon that has to try again and cannot pay asks one that
-//! has some left. What is lent is out of use at its owner until nobody can spend it any more, whatever becomes of the
-//! messages; so no window of all daemons together is ever overspent.
+//! The budget covers the whole installation: in each window, retries may amount to a fixed ratio of the
+//! requests plus a fixed number (`slack`). Daemons cannot agree on its use while a partition separates them,
+//! so each one owns a share of the slack and the credit earned by the requests that it accepts itself. With
+//! hundreds of daemons a share is worth less than one retry, or little more, while most of the total stays
+//! unused. A daemon that needs a retry and cannot pay for it therefore borrows from another daemon. The
+//! lender keeps the lent credit reserved until it can no longer be spent, whether or not messages are lost,
+//! so no window exceeds the total budget.
 //!
-//! - A try paid out of the slack takes its part out of use for a whole window.
-//! - What was earned is saved up to some tries only: a calm minute must not pay for a storm.
-//! - A loan may be spent for [`LOAN_LIFE_MS`] after it was asked for. Its owner takes it back a whole window after that,
-//!   counted from when it was lent, which is later.
-//! - A daemon that starts knows nothing of what its earlier life spent or lent, so its part of the slack is out of use
-//!   until that has run out.
+//! - A retry paid from the slack reserves its cost for a full window.
+//! - Earned credit accumulates to a few retries only, so that a quiet period does not pay for a retry storm.
+//! - A loan can be spent within [`LOAN_TTL_MS`] of the request. The lender reserves it for one window longer,
+//!   counted from the moment of lending, which is later.
+//! - A restarted daemon does not know what its previous incarnation spent or lent, so its share of the slack
+//!   stays reserved until all of that has expired.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -20,263 +21,279 @@
 use crate::ids::HostId;
 use crate::units::{Credit, Millis, MonoTime};
 
-/// One further try.
-pub const TRY: Credit = Credit(1_000);
+/// Cost of one retry; credit counts in thousandths of a retry.
+pub const RETRY_COST: Credit = Credit(1_000);
 
-/// For how long a loan may be spent after it was asked for. The try that it was asked for begins within milliseconds.
-pub const LOAN_LIFE_MS: Millis = Millis(1_000);
+/// Time within which a loan can be spent, from the request for it. The retry itself starts within
+/// milliseconds.
+pub const LOAN_TTL_MS: Millis = Millis(1_000);
 
-/// For how long a request waits for a loan: some questions to other daemons of the region, each of which takes a few
-/// milliseconds, and short beside the target of a page.
-pub const LOAN_WAIT_MS: Millis = Millis(60);
+/// Longest time that a request waits for a loan. Allows several lenders in the region to be asked, each of
+/// which answers within a few milliseconds, and is short compared with the latency target of a page.
+pub const LOAN_TIMEOUT_MS: Millis = Millis(60);
 
-/// Time after which another daemon is asked: several round trips in a region.
-pub const ASK_AGAIN_MS: Millis = Millis(12);
+/// Time without an answer after which the next lender is asked: several round trips within a region.
+pub const LENDER_TIMEOUT_MS: Millis = Millis(12);
 
-/// Most that is saved up of what requests earned, in tries.
-const SAVED_MAX: Credit = Credit(2 * TRY.0);
+/// Upper limit of accumulated credit that requests earned: two retries.
+const SAVINGS_MAX: Credit = Credit(2 * RETRY_COST.0);
 
-/// How much one daemon may spend.
+/// Budget of one daemon.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AllowanceSettings {
-    /// What each request that it takes earns.
-    pub earned: Credit,
-    /// Its part of what all daemons may spend in a window beyond that.
-    pub part: Credit,
+    /// Credit that each accepted request earns.
+    pub credit_per_request: Credit,
+    /// This daemon's share of the slack: credit that may be spent in each window beyond the earned credit.
+    pub slack_share: Credit,
     /// Length of the window.
     pub window_ms: Millis,
 }
 
 impl Default for AllowanceSettings {
     fn default() -> Self {
-        Self { earned: Credit(200), part: Credit(8 * TRY.0), window_ms: Millis(10_000) }
+        Self {
+            credit_per_request: Credit(200),
+            slack_share: Credit(8 * RETRY_COST.0),
+            window_ms: Millis(10_000),
+        }
     }
 }
 
-/// Something that is in use until some time.
+/// Credit with an expiry time.
 #[derive(Clone, Copy, Debug)]
-struct Until {
-    at_us: MonoTime,
+struct ExpiringCredit {
+    expires_us: MonoTime,
     credit: Credit,
 }
 
-/// A question for a loan.
+/// Request to another daemon for a loan.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Ask {
-    /// Whom to ask.
+pub struct LoanRequest {
+    /// Daemon that is asked.
     pub lender: HostId,
-    /// Its number among this daemon's questions; the answer names it.
+    /// Sequence number among the loan requests of this daemon; the answer repeats it.
     pub number: u64,
-    /// What is missing.
+    /// Credit that is missing.
     pub credit: Credit,
 }
 
 #[derive(Clone, Debug)]
-struct Asked {
+struct PendingRequest {
     number: u64,
     lender: HostId,
-    at_us: MonoTime,
+    sent_us: MonoTime,
 }
 
-/// What one daemon may spend on further tries of one service. Its clock begins with its life.
+/// Retry budget of one daemon for one service. Times count from the start of the daemon.
 #[derive(Clone, Debug)]
 pub struct Allowance {
     settings: AllowanceSettings,
-    /// Saved up of what requests earned.
-    saved: Credit,
-    /// Spent without having it: something that was free by itself came to count.
+    /// Accumulated credit that requests earned.
+    savings: Credit,
+    /// Spent without cover: a retry that was free at first was charged afterwards.
     debt: Credit,
-    /// Parts of the slack that are out of use.
-    taken: Vec<Until>,
-    /// What others have lent.
-    loans: Vec<Until>,
-    /// What the other daemons said that they could lend.
+    /// Slack that is spent or lent, until it can be used again.
+    reserved: Vec<ExpiringCredit>,
+    /// Credit borrowed from other daemons.
+    loans: Vec<ExpiringCredit>,
+    /// Credit that each other daemon last reported as lendable.
     lenders: HashMap<HostId, Credit>,
-    asked: Vec<Asked>,
-    questions: u64,
-    /// Differs between daemons, so that they ask different ones.
+    pending: Vec<PendingRequest>,
+    requests_sent: u64,
+    /// Differs between daemons, so that they choose different lenders.
     seed: u64,
 }
 
 impl Allowance {
-    /// Nothing is saved up yet, and the slack is out of use for a window.
+    /// Creates a budget without earned credit, and with the whole slack reserved for one window and the
+    /// lifetime of a loan.
     pub fn new(settings: AllowanceSettings, seed: u64) -> Self {
         Self {
             settings,
-            saved: Credit::ZERO,
+            savings: Credit::ZERO,
             debt: Credit::ZERO,
-            taken: Vec::new(),
+            reserved: Vec::new(),
             loans: Vec::new(),
             lenders: HashMap::new(),
-            asked: Vec::new(),
-            questions: 0,
+            pending: Vec::new(),
+            requests_sent: 0,
             seed,
         }
     }
 
-    /// Changes the limits; what is out of use stays so.
+    /// Replaces the settings; reserved slack stays reserved.
     pub fn configure(&mut self, settings: AllowanceSettings) {
         self.settings = settings;
-        self.saved = self.saved.min(self.saved_max());
+        self.savings = self.savings.min(self.savings_max());
     }
 
-    /// A request arrived.
-    pub fn arrived(&mut self) {
+    /// Adds the credit that one accepted request earns; debt is repaid first.
+    pub fn deposit(&mut self) {
         let Self { settings, debt, .. } = self;
-        let paid_back = settings.earned.min(*debt);
-        *debt -= paid_back;
-        self.saved = (self.saved + settings.earned - paid_back).min(self.saved_max());
+        let repaid = settings.credit_per_request.min(*debt);
+        *debt -= repaid;
+        self.savings = (self.savings + settings.credit_per_request - repaid).min(self.savings_max());
     }
 
-    /// Whether so many further tries could be paid for, with what is owed. With more owed than there is, not even none.
-    pub fn has(&self, now_us: MonoTime, tries: u64) -> bool {
-        self.all(now_us) >= self.debt + Credit(tries * TRY.0)
+    /// Whether the balance covers `retries` more retries after the debt is repaid. False for zero retries if
+    /// the debt exceeds the credit.
+    pub fn can_afford(&self, now_us: MonoTime, retries: u64) -> bool {
+        self.gross_balance(now_us) >= self.debt + Credit(retries * RETRY_COST.0)
     }
 
-    /// Pays for one further try; false when that cannot be paid for.
-    pub fn withdraw(&mut self, now_us: MonoTime) -> bool {
-        let can_pay = self.has(now_us, 1);
-        if can_pay {
+    /// Charges one retry if the balance covers it, and returns whether it did.
+    pub fn try_withdraw(&mut self, now_us: MonoTime) -> bool {
+        let is_affordable = self.can_afford(now_us, 1);
+        if is_affordable {
             self.charge(now_us);
         }
-        can_pay
+        is_affordable
     }
 
-    /// Pays for one try that was made already. What is missing is owed, and paid back out of what requests earn.
+    /// Charges one retry that was already made. A shortfall becomes debt, repaid from the credit that
+    /// requests earn.
     pub fn charge(&mut self, now_us: MonoTime) {
-        self.pass(now_us);
-        let mut price = TRY;
+        self.drop_expired(now_us);
+        let mut unpaid = RETRY_COST;
         for loan in &mut self.loans {
-            price -= take(&mut loan.credit, price);
+            unpaid -= draw(&mut loan.credit, unpaid);
         }
-        price -= take(&mut self.saved, price);
-        let from_slack = price.min(self.free(now_us));
-        self.take_out(now_us + self.settings.window_ms, from_slack);
-        self.debt += price - from_slack;
+        unpaid -= draw(&mut self.savings, unpaid);
+        let from_slack = unpaid.min(self.free_slack(now_us));
+        self.reserve_slack(now_us + self.settings.window_ms, from_slack);
+        self.debt += unpaid - from_slack;
     }
 
-    /// What could be lent to others now.
-    pub fn spare(&self, now_us: MonoTime) -> Credit {
-        self.free(now_us).min(self.balance(now_us))
+    /// Credit that this daemon could lend at `now_us`.
+    pub fn lendable(&self, now_us: MonoTime) -> Credit {
+        self.free_slack(now_us).min(self.balance(now_us))
     }
 
-    /// Lends to another daemon as much of what it `wants` as there is.
-    pub fn lend(&mut self, now_us: MonoTime, wants: Credit) -> Credit {
-        self.pass(now_us);
-        let lent = wants.min(self.spare(now_us));
-        self.take_out(now_us + self.settings.window_ms + LOAN_LIFE_MS, lent);
+    /// Lends up to `requested` credit to another daemon and returns the amount lent, which may be zero.
+    pub fn lend(&mut self, now_us: MonoTime, requested: Credit) -> Credit {
+        self.drop_expired(now_us);
+        let lent = requested.min(self.lendable(now_us));
+        self.reserve_slack(now_us + self.settings.window_ms + LOAN_TTL_MS, lent);
         lent
     }
 
-    /// Another daemon said what it could lend.
-    pub fn told(&mut self, host: &HostId, spare: Credit) {
+    /// Records the credit that another daemon reports as lendable.
+    pub fn update_lender(&mut self, host: &HostId, lendable: Credit) {
         match self.lenders.get_mut(host) {
-            Some(known) => *known = spare,
-            None if spare > Credit::ZERO => {
-                self.lenders.insert(host.clone(), spare);
+            Some(known) => *known = lendable,
+            None if lendable > Credit::ZERO => {
+                self.lenders.insert(host.clone(), lendable);
             }
             None => {}
         }
     }
 
-    /// Whom to ask for what is missing for so many tries. `None` while an answer is awaited, or when nobody has any left.
-    pub fn ask(&mut self, now_us: MonoTime, tries: u64) -> Option<Ask> {
-        let missing = (self.debt + Credit(tries * TRY.0)).saturating_sub(self.all(now_us));
-        if missing == Credit::ZERO || self.asked.iter().any(|asked| now_us < asked.at_us + ASK_AGAIN_MS) {
+    /// Returns the loan request to send for the credit that `retries` retries lack. `None` if nothing is
+    /// missing, if a request sent within the last [`LENDER_TIMEOUT_MS`] is unanswered, or if no other daemon
+    /// has credit to lend.
+    pub fn request_loan(&mut self, now_us: MonoTime, retries: u64) -> Option<LoanRequest> {
+        let missing = (self.debt + Credit(retries * RETRY_COST.0)).saturating_sub(self.gross_balance(now_us));
+        if missing == Credit::ZERO
+            || self.pending.iter().any(|request| now_us < request.sent_us + LENDER_TIMEOUT_MS)
+        {
             return None;
         }
-        self.asked.retain(|asked| now_us < asked.at_us + LOAN_LIFE_MS);
-        // One that did not answer is gone, or cut off; it says itself when it is back.
-        for silent in &self.asked {
-            self.lenders.insert(silent.lender.clone(), Credit::ZERO);
+        self.pending.retain(|request| now_us < request.sent_us + LOAN_TTL_MS);
+        // A lender that did not answer has failed or is partitioned off; it reports its credit again once it
+        // is back.
+        for unanswered in &self.pending {
+            self.lenders.insert(unanswered.lender.clone(), Credit::ZERO);
         }
         let lender = self.choose_lender()?;
-        self.questions += 1;
-        self.asked.push(Asked { number: self.questions, lender: lender.clone(), at_us: now_us });
-        Some(Ask { lender, number: self.questions, credit: missing })
+        self.requests_sent += 1;
+        self.pending.push(PendingRequest {
+            number: self.requests_sent,
+            lender: lender.clone(),
+            sent_us: now_us,
+        });
+        Some(LoanRequest { lender, number: self.requests_sent, credit: missing })
     }
 
-    /// One of those that have most.
-    ///
-    /// Load: an engine dies, and all daemons have to try again at the same moment. Harm prevented: all of them ask the one
-    /// that had most, which can help the first only.
+    /// Chooses among the daemons that have at least half of the largest lendable credit. When an engine
+    /// fails, all daemons need retries at the same time; if all of them asked the daemon with the most
+    /// credit, it could serve only the first.
     fn choose_lender(&self) -> Option<HostId> {
-        let most = self.lenders.values().copied().max().filter(|most| *most > Credit::ZERO)?;
+        let largest = self.lenders.values().copied().max().filter(|largest| *largest > Credit::ZERO)?;
         let rank = |host: &HostId| {
             let mut hasher = DefaultHasher::new();
-            (self.seed, self.questions, host.as_str()).hash(&mut hasher);
+            (self.seed, self.requests_sent, host.as_str()).hash(&mut hasher);
             hasher.finish()
         };
-        let rich = self.lenders.iter().filter(|(_, spare)| spare.0 * 2 >= most.0);
-        rich.map(|(host, _)| host).min_by_key(|host| rank(host)).cloned()
+        let eligible = self.lenders.iter().filter(|(_, lendable)| lendable.0 * 2 >= largest.0);
+        eligible.map(|(host, _)| host).min_by_key(|host| rank(host)).cloned()
     }
 
-    /// The answer to a question came: what was lent, and what its owner has left. An answer that comes twice, or so late
-    /// that its owner may have taken the loan back, changes nothing.
-    pub fn lent(&mut self, now_us: MonoTime, number: u64, credit: Credit, spare: Credit) {
-        let Some(position) = self.asked.iter().position(|asked| asked.number == number) else {
+    /// Records the answer to a loan request: the credit lent, and what the lender can still lend. Ignores
+    /// duplicate answers, and drops a loan that arrives so late that the lender may already have reclaimed
+    /// it.
+    pub fn receive(&mut self, now_us: MonoTime, number: u64, credit: Credit, lendable: Credit) {
+        let Some(position) = self.pending.iter().position(|request| request.number == number) else {
             return;
         };
-        let Asked { lender, at_us, .. } = self.asked.swap_remove(position);
-        self.lenders.insert(lender, spare);
-        let until_us = at_us + LOAN_LIFE_MS;
+        let PendingRequest { lender, sent_us, .. } = self.pending.swap_remove(position);
+        self.lenders.insert(lender, lendable);
+        let until_us = sent_us + LOAN_TTL_MS;
         if now_us < until_us {
-            self.loans.push(Until { at_us: until_us, credit });
+            self.loans.push(ExpiringCredit { expires_us: until_us, credit });
         }
     }
 
-    /// Whether a loan may still come for what is missing.
+    /// Whether a loan is pending or another daemon has credit to lend.
     pub fn may_borrow(&self) -> bool {
-        !self.asked.is_empty() || self.lenders.values().any(|spare| *spare > Credit::ZERO)
+        !self.pending.is_empty() || self.lenders.values().any(|lendable| *lendable > Credit::ZERO)
     }
 
-    /// What it can spend.
+    /// Credit available after the debt.
     pub fn balance(&self, now_us: MonoTime) -> Credit {
-        self.all(now_us).saturating_sub(self.debt)
+        self.gross_balance(now_us).saturating_sub(self.debt)
     }
 
-    /// What it has, without what it owes.
-    fn all(&self, now_us: MonoTime) -> Credit {
-        let loans = self.loans.iter().filter(|loan| now_us < loan.at_us);
+    /// Credit before the debt is deducted.
+    fn gross_balance(&self, now_us: MonoTime) -> Credit {
+        let loans = self.loans.iter().filter(|loan| now_us < loan.expires_us);
         let lent = loans.fold(Credit::ZERO, |sum, loan| sum + loan.credit);
-        lent + self.saved + self.free(now_us)
+        lent + self.savings + self.free_slack(now_us)
     }
 
-    /// The part of the slack that is in no use.
-    fn free(&self, now_us: MonoTime) -> Credit {
-        let Self { settings, taken, .. } = self;
-        if now_us < MonoTime::default() + settings.window_ms + LOAN_LIFE_MS {
+    /// Slack that is neither spent nor lent; zero until everything from before a restart has expired.
+    fn free_slack(&self, now_us: MonoTime) -> Credit {
+        let Self { settings, reserved, .. } = self;
+        if now_us < MonoTime::default() + settings.window_ms + LOAN_TTL_MS {
             return Credit::ZERO;
         }
-        let taken = taken.iter().filter(|taken| now_us < taken.at_us);
-        self.slack().saturating_sub(taken.fold(Credit::ZERO, |sum, taken| sum + taken.credit))
+        let reserved = reserved.iter().filter(|reserved| now_us < reserved.expires_us);
+        self.slack().saturating_sub(reserved.fold(Credit::ZERO, |sum, reserved| sum + reserved.credit))
     }
 
-    fn take_out(&mut self, until_us: MonoTime, credit: Credit) {
+    fn reserve_slack(&mut self, until_us: MonoTime, credit: Credit) {
         if credit > Credit::ZERO {
-            self.taken.push(Until { at_us: until_us, credit });
+            self.reserved.push(ExpiringCredit { expires_us: until_us, credit });
         }
     }
 
-    /// Half of the part at most is kept for what requests earn: in a window no more is spent than was earned in it and what
-    /// was saved before.
-    fn saved_max(&self) -> Credit {
-        SAVED_MAX.min(Credit(self.settings.part.0 / 2))
+    /// Upper limit of earned credit, at most half of the slack share. The slack is reduced by the same
+    /// amount, so a window spends at most the share plus what was earned within the window.
+    fn savings_max(&self) -> Credit {
+        SAVINGS_MAX.min(Credit(self.settings.slack_share.0 / 2))
     }
 
     fn slack(&self) -> Credit {
-        self.settings.part - self.saved_max()
+        self.settings.slack_share - self.savings_max()
     }
 
-    /// Forgets what has run out.
-    fn pass(&mut self, now_us: MonoTime) {
-        self.taken.retain(|taken| now_us < taken.at_us);
-        self.loans.retain(|loan| now_us < loan.at_us && loan.credit > Credit::ZERO);
+    fn drop_expired(&mut self, now_us: MonoTime) {
+        self.reserved.retain(|reserved| now_us < reserved.expires_us);
+        self.loans.retain(|loan| now_us < loan.expires_us && loan.credit > Credit::ZERO);
     }
 }
 
-/// Takes as much of `wanted` as there is.
-fn take(from: &mut Credit, wanted: Credit) -> Credit {
+/// Deducts up to `wanted` and returns the amount deducted.
+fn draw(from: &mut Credit, wanted: Credit) -> Credit {
     let taken = wanted.min(*from);
     *from -= taken;
     taken
--- a/crates/core/src/quarantine/survivors.rs
+++ b/crates/core/src/quarantine/cleared.rs
@@ -1,28 +1,28 @@
-//! Requests that servers have run lately without crashing.
+//! Requests that recently ran without crashing a server.
 
 use std::collections::{HashSet, VecDeque};
 
 use super::fingerprint::Fingerprint;
 
-/// The newest requests that servers have run, up to a bound.
+/// Most recent requests that ran without a crash, up to `capacity`.
 #[derive(Clone, Debug)]
-pub(super) struct Survivors {
+pub(super) struct ClearedRequests {
     oldest_first: VecDeque<Fingerprint>,
     known: HashSet<Fingerprint>,
-    limit: usize,
+    capacity: usize,
 }
 
-impl Survivors {
-    pub(super) fn new(limit: usize) -> Self {
-        Self { oldest_first: VecDeque::new(), known: HashSet::new(), limit }
+impl ClearedRequests {
+    pub(super) fn new(capacity: usize) -> Self {
+        Self { oldest_first: VecDeque::new(), known: HashSet::new(), capacity }
     }
 
-    pub(super) fn note(&mut self, fingerprint: Fingerprint) {
+    pub(super) fn record(&mut self, fingerprint: Fingerprint) {
         if !self.known.insert(fingerprint) {
             return;
         }
         self.oldest_first.push_back(fingerprint);
-        if self.oldest_first.len() > self.limit
+        if self.oldest_first.len() > self.capacity
             && let Some(oldest) = self.oldest_first.pop_front()
         {
             self.known.remove(&oldest);
--- a/crates/core/src/quarantine/evidence.rs
+++ b/crates/core/src/quarantine/evidence.rs
@@ -1,17 +1,18 @@
-//! The evidence against one request.
+//! Evidence collected about one request.
 
 use super::Fingerprint;
 use super::report::{Finding, Report, ReportId};
 use crate::ids::{BackendServerId, Incarnation};
 use crate::units::{Millis, MonoTime};
 
-/// Reports of one server within this time are of one crash; a server that crashed is back after some seconds.
-const SAME_CRASH_MS: Millis = Millis(1_000);
+/// Reports of one server within this time refer to the same crash; a crashed server takes some seconds to
+/// return.
+const SAME_CRASH_WINDOW_MS: Millis = Millis(1_000);
 
-/// Reports of crashes that are kept of one request; several daemons may report each crash.
+/// Maximum number of crash reports kept per request; several daemons may report the same crash.
 const CRASHES_MAX: usize = 32;
 
-/// A server that crashed with the request in flight.
+/// Crash of a server while it had the request in flight.
 #[derive(Clone, Debug)]
 pub(super) struct Crash {
     pub(super) id: ReportId,
@@ -23,24 +24,24 @@
 impl Crash {
     pub(super) fn is_same_as(&self, other: &Self) -> bool {
         let (earlier_us, later_us) = (self.at_us.min(other.at_us), self.at_us.max(other.at_us));
-        self.server == other.server && later_us < earlier_us + SAME_CRASH_MS
+        self.server == other.server && later_us < earlier_us + SAME_CRASH_WINDOW_MS
     }
 }
 
-/// What is known of one request.
+/// Evidence about one request.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Evidence {
-    /// Oldest first.
+    /// Ordered from oldest to newest.
     pub(super) crashes: Vec<Crash>,
-    survived: Option<(ReportId, MonoTime)>,
+    cleared: Option<(ReportId, MonoTime)>,
     pub(super) is_quarantined: bool,
 }
 
 impl Evidence {
-    /// Adds a crash; returns whether it was new.
+    /// Adds a crash report. Returns false if it is known, or older than a run that cleared the request.
     pub(super) fn add(&mut self, crash: Crash) -> bool {
         let is_known = self.crashes.iter().any(|known| known.id == crash.id);
-        let is_cleared = self.survived.is_some_and(|(_, at_us)| crash.at_us <= at_us);
+        let is_cleared = self.cleared.is_some_and(|(_, at_us)| crash.at_us <= at_us);
         if is_known || is_cleared {
             return false;
         }
@@ -52,38 +53,39 @@
         true
     }
 
-    /// A server has run the request and lives: what was seen before proves nothing any more.
+    /// Records that a server ran the request without crashing, which discards earlier crashes. Returns false
+    /// if a run at least as recent is known.
     pub(super) fn clear(&mut self, id: ReportId, at_us: MonoTime) -> bool {
-        if self.survived.is_some_and(|(_, known_us)| known_us >= at_us) {
+        if self.cleared.is_some_and(|(_, known_us)| known_us >= at_us) {
             return false;
         }
-        self.survived = Some((id, at_us));
+        self.cleared = Some((id, at_us));
         self.crashes.retain(|crash| crash.at_us > at_us);
         true
     }
 
-    /// Drops what is from `oldest_us` or before.
+    /// Drops evidence from `oldest_us` or earlier.
     pub(super) fn expire(&mut self, oldest_us: MonoTime) {
         self.crashes.retain(|crash| crash.at_us > oldest_us);
-        self.survived = self.survived.filter(|(_, at_us)| *at_us > oldest_us);
+        self.cleared = self.cleared.filter(|(_, at_us)| *at_us > oldest_us);
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.crashes.is_empty() && self.survived.is_none()
+        self.crashes.is_empty() && self.cleared.is_none()
     }
 
-    /// The life of the daemon that reported the newest crash.
-    pub(super) fn newest_incarnation(&self) -> Option<Incarnation> {
+    /// Incarnation of the daemon that reported the latest crash.
+    pub(super) fn last_reporter(&self) -> Option<Incarnation> {
         Some(self.crashes.last()?.id.incarnation)
     }
 
-    pub(super) fn newest_us(&self) -> Option<MonoTime> {
-        let survived_us = self.survived.map(|(_, at_us)| at_us);
-        self.crashes.iter().map(|crash| crash.at_us).chain(survived_us).max()
+    pub(super) fn last_seen_us(&self) -> Option<MonoTime> {
+        let cleared_us = self.cleared.map(|(_, at_us)| at_us);
+        self.crashes.iter().map(|crash| crash.at_us).chain(cleared_us).max()
     }
 
-    /// Crashes for which `counts` holds, newest first; reports of one crash count once.
-    pub(super) fn distinct<Counts>(&self, counts: Counts) -> Vec<&Crash>
+    /// Crashes that satisfy `counts`, newest first; several reports of one crash count once.
+    pub(super) fn distinct_crashes<Counts>(&self, counts: Counts) -> Vec<&Crash>
     where
         Counts: Fn(&Crash) -> bool,
     {
@@ -96,16 +98,17 @@
         distinct
     }
 
-    /// How long the request was at the servers that crashed, all together. What crashes them has mostly come last.
+    /// Total time that the request was in flight at the crashed servers. A request that causes crashes
+    /// usually arrived shortly before them.
     pub(super) fn in_flight_ms(&self) -> Millis {
         self.crashes.iter().fold(Millis::ZERO, |sum, crash| sum + crash.in_flight_ms)
     }
 
-    pub(super) fn ids(&self) -> impl Iterator<Item = ReportId> + '_ {
-        self.crashes.iter().map(|crash| crash.id).chain(self.survived.map(|(id, _)| id))
+    pub(super) fn report_ids(&self) -> impl Iterator<Item = ReportId> + '_ {
+        self.crashes.iter().map(|crash| crash.id).chain(self.cleared.map(|(id, _)| id))
     }
 
-    /// All of it as reports.
+    /// All evidence as reports.
     pub(super) fn reports(&self, now_us: MonoTime, fingerprint: Fingerprint) -> Vec<Report> {
         let report = |id, finding, at_us: MonoTime| Report {
             id,
@@ -117,7 +120,7 @@
             let (server, in_flight_ms) = (crash.server.clone(), crash.in_flight_ms);
             report(crash.id, Finding::Crashed { server, in_flight_ms }, crash.at_us)
         });
-        let survived = self.survived.map(|(id, at_us)| report(id, Finding::Survived, at_us));
-        survived.into_iter().chain(crashes).collect()
+        let cleared = self.cleared.map(|(id, at_us)| report(id, Finding::Survived, at_us));
+        cleared.into_iter().chain(crashes).collect()
     }
 }
--- a/crates/core/src/quarantine/fingerprint.rs
+++ b/crates/core/src/quarantine/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Recognising a request that comes again under another id.
+//! Fingerprints that identify a repeated request independently of its request id.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,45 +9,45 @@
 
 const FINGERPRINT_BYTES: usize = 16;
 
-/// Hash of what makes a request the same request: caller, method, host, path and body.
+/// Hash of the fields that identify a request: caller, method, host, path and body.
 #[derive(Clone, Copy, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct Fingerprint([u8; FINGERPRINT_BYTES]);
 
-/// A fingerprint that could not be read.
+/// Error of parsing a fingerprint.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("{text:?} is not a fingerprint of 32 hexadecimal digits")]
 pub struct ParseFingerprintError {
     text: String,
 }
 
-/// Who sends a request.
+/// Sender of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallerIdentity<'a> {
-    /// An organisation that is known by its key; its callers count as one.
+    /// Organisation identified by its key; all its callers count as one.
     Partner(&'a PartnerId),
-    /// Credentials that only backend servers understand.
+    /// Opaque credentials, which only backend servers interpret.
     Credentials(&'a [u8]),
-    /// Nobody in particular.
+    /// No identification.
     Anonymous,
 }
 
-/// What makes a request the same request when it comes again.
+/// Fields that identify a repeated request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RequestIdentity<'a> {
-    /// Who sends it.
+    /// Sender of the request.
     pub caller: CallerIdentity<'a>,
-    /// Its method.
+    /// HTTP method.
     pub method: &'a str,
-    /// The host that it names.
+    /// Host named by the request, compared without regard to case.
     pub host: &'a str,
-    /// Its path and query.
+    /// Path and query.
     pub path: &'a str,
-    /// Its body.
+    /// Request body.
     pub body: &'a [u8],
 }
 
 impl Fingerprint {
-    /// The fingerprint of a request.
+    /// Computes the fingerprint of a request.
     pub fn of(request: &RequestIdentity<'_>) -> Self {
         let (kind, caller): (u8, &[u8]) = match request.caller {
             CallerIdentity::Partner(partner) => (0, partner.as_str().as_bytes()),
@@ -60,7 +60,8 @@
         let fields =
             [caller, request.method.as_bytes(), host.as_bytes(), request.path.as_bytes(), request.body];
         for field in fields {
-            // The length keeps the end of one field from passing for the beginning of the next.
+            // The length prefix keeps adjacent fields from hashing alike when bytes move from one to the
+            // next.
             hasher.update(&(field.len() as u64).to_le_bytes());
             hasher.update(field);
         }
--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -1,18 +1,18 @@
-//! Requests that crash the servers that run them, and which daemons refuse to send on.
+//! Quarantine of requests that crash the servers running them.
 //!
-//! A request that was in flight at a server that crashed is a suspect. One that three servers crashed under is put in
-//! quarantine: it reaches no further server until the evidence is old.
+//! A request that was in flight at a crashing server becomes a suspect. After crashes of three servers it is
+//! quarantined: no daemon sends it to another server until the evidence expires.
 //!
-//! - [`Fingerprint`]: recognises a request that comes again under another id.
-//! - [`Report`]: what one daemon saw and sends to all others.
-//! - [`Quarantine`]: the evidence of one daemon, and what follows from it.
+//! - [`Fingerprint`]: identifies a repeated request independently of its request id.
+//! - [`Report`]: finding of one daemon, sent to all others.
+//! - [`Quarantine`]: evidence held by one daemon, and the verdicts derived from it.
 
+mod cleared;
 mod evidence;
 mod fingerprint;
 mod report;
 mod state;
-mod survivors;
 
 pub use fingerprint::{CallerIdentity, Fingerprint, ParseFingerprintError, RequestIdentity};
 pub use report::{Finding, Gossip, Report, ReportId, ReportPage};
-pub use state::{Quarantine, QuarantineSettings, Received, Verdict};
+pub use state::{Quarantine, QuarantineSettings, ReceiveOutcome, Verdict};
--- a/crates/core/src/quarantine/report.rs
+++ b/crates/core/src/quarantine/report.rs
@@ -1,4 +1,4 @@
-//! Reports of crashed servers, as daemons exchange them.
+//! Crash reports exchanged between daemons.
 
 use std::fmt;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -9,17 +9,17 @@
 use crate::ids::{BackendServerId, Incarnation};
 use crate::units::Millis;
 
-/// Names a report over all daemons.
+/// Identifier of a report, unique across all daemons.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct ReportId {
-    /// Life of the daemon that made it.
+    /// Incarnation of the daemon that created the report.
     pub incarnation: Incarnation,
-    /// Counts the reports of that life.
+    /// Sequence number of the report within that incarnation.
     pub sequence: u64,
 }
 
 impl ReportId {
-    /// Its part of a digest over many reports.
+    /// Contribution to the digest of a set of reports.
     pub(super) fn digest(self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.hash(&mut hasher);
@@ -33,47 +33,47 @@
     }
 }
 
-/// What a daemon saw of a request.
+/// Finding of a daemon about one request.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum Finding {
-    /// A server crashed while it had the request.
+    /// A server crashed while the request was in flight there.
     Crashed {
-        /// The server.
+        /// Server that crashed.
         server: BackendServerId,
-        /// Time since the request was sent there.
+        /// Time between sending the request to the server and the crash.
         in_flight_ms: Millis,
     },
-    /// A server that ran the request did not crash.
+    /// A server ran the request without crashing.
     Survived,
 }
 
-/// One finding, as it travels.
+/// Finding as sent between daemons.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Report {
-    /// Its name.
+    /// Identifier of the report.
     pub id: ReportId,
-    /// The request.
+    /// Request that the finding is about.
     pub fingerprint: Fingerprint,
-    /// What was seen.
+    /// Observation of the daemon.
     pub finding: Finding,
-    /// How long ago, when it was sent.
+    /// Age of the finding at the time of sending.
     pub age_ms: Millis,
 }
 
-/// What goes with each message to the other daemons.
+/// Reports and digest that each message to the other daemons carries.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Gossip {
-    /// Reports that are new to this daemon.
+    /// Recent reports of this daemon, each repeated in several messages.
     pub reports: Vec<Report>,
-    /// Digest of all reports that it holds.
+    /// Digest of all reports that this daemon holds.
     pub digest: u64,
 }
 
-/// Some of the reports that a daemon holds.
+/// Page of the reports that a daemon holds.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct ReportPage {
     /// The reports, ordered by fingerprint.
     pub reports: Vec<Report>,
-    /// The last fingerprint in it where there are more behind it.
+    /// Last fingerprint of the page if more reports follow; `None` on the last page.
     pub more_after: Option<Fingerprint>,
 }
--- a/crates/core/src/quarantine/state.rs
+++ b/crates/core/src/quarantine/state.rs
@@ -1,102 +1,104 @@
-//! The evidence that one daemon holds, and what follows from it.
+//! Evidence held by one daemon, and the verdicts derived from it.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
 use super::Fingerprint;
+use super::cleared::ClearedRequests;
 use super::evidence::{Crash, Evidence};
 use super::report::{Finding, Gossip, Report, ReportId, ReportPage};
-use super::survivors::Survivors;
 use crate::ids::{BackendServerId, Incarnation};
 use crate::retransmit::RetransmitQueue;
 use crate::units::{Micros, Millis, MonoTime};
 
-/// Reports in one message. A message fits a datagram beside what else it holds.
+/// Maximum number of reports per message, so that it fits a datagram together with its other contents.
 const GOSSIP_REPORTS_MAX: usize = 12;
 
-/// Reports in one answer to a daemon whose digest differs; they fit a datagram.
+/// Maximum number of reports per page sent to a daemon whose digest differs, so that it fits a datagram.
 const PAGE_REPORTS_MAX: usize = 64;
 
-/// Pause between two questions for reports.
-const ASK_PAUSE_MS: Millis = Millis(250);
+/// Minimum interval between two requests for reports.
+const PULL_INTERVAL_MS: Millis = Millis(250);
 
-/// The same after an answer without news: digests differ for a moment while reports travel, and for longer where one
-/// daemon has dropped what another one kept.
-const ASK_PAUSE_NO_NEWS_MS: Millis = Millis(1_000);
+/// Interval after a page without new reports. Digests differ briefly while reports are in transit, and for
+/// longer if one daemon dropped reports that another kept.
+const PULL_BACKOFF_MS: Millis = Millis(1_000);
 
-/// Pause between two looks for evidence that is too old.
-const EXPIRE_PAUSE_MS: Millis = Millis(1_000);
+/// Interval between two removals of expired evidence.
+const EXPIRE_INTERVAL_MS: Millis = Millis(1_000);
 
-/// Limits of a [`Quarantine`].
+/// Settings of a [`Quarantine`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct QuarantineSettings {
-    /// Crashes under a request that put it in quarantine.
+    /// Number of crashes that put a request in quarantine.
     pub crashes: usize,
-    /// How many of them no other request in quarantine may account for. A request that is resumed at one server after
-    /// the other shares the crashes of the one that causes them.
-    pub own_crashes: usize,
-    /// For how long a crash counts.
+    /// How many of these crashes must not be explained by another quarantined request. A request that is
+    /// resumed on several servers in turn shares the crashes of the request that causes them.
+    pub unexplained_crashes: usize,
+    /// Time for which a crash counts as evidence.
     pub evidence_ms: Millis,
-    /// Requests with evidence against them that are remembered.
+    /// Maximum number of requests with evidence that are tracked.
     pub suspects_max: usize,
-    /// Requests that are remembered to have run without harm.
-    pub survivors_max: usize,
+    /// Maximum number of requests remembered as having run without a crash.
+    pub cleared_max: usize,
 }
 
 impl Default for QuarantineSettings {
     fn default() -> Self {
         Self {
             crashes: 3,
-            own_crashes: 2,
+            unexplained_crashes: 2,
             evidence_ms: Millis(15 * 60 * 1_000),
             suspects_max: 512,
-            survivors_max: 4_096,
+            cleared_max: 4_096,
         }
     }
 }
 
-/// A request was put in quarantine, or let out of it.
+/// Change of the quarantine state of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Verdict {
-    /// The request.
+    /// Request that the verdict is about.
     pub fingerprint: Fingerprint,
-    /// Whether it is in quarantine now.
+    /// Whether the request is now in quarantine.
     pub is_quarantined: bool,
-    /// Servers that crashed under it, as far as that counts.
+    /// Number of distinct crashes attributed to the request.
     pub crashes: usize,
-    /// Whether this daemon made the newest of the reports.
+    /// Whether this daemon reported the latest crash; false on release.
     pub is_reporter: bool,
 }
 
-/// What follows from a message of another daemon.
+/// Result of processing a message of another daemon.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Received {
-    /// What changed.
+pub struct ReceiveOutcome {
+    /// Verdicts that changed.
     pub verdicts: Vec<Verdict>,
-    /// Whether to ask that daemon for its reports, and behind which fingerprint.
-    pub ask: Option<Option<Fingerprint>>,
+    /// Request for the reports of that daemon, with the fingerprint after which they start (`None`: from the
+    /// beginning). `None` if no request is to be sent.
+    pub pull_after: Option<Option<Fingerprint>>,
 }
 
-/// The evidence of one daemon.
+/// Crash evidence of one daemon.
 ///
-/// Load: one request crashes whichever server runs it and comes again through any daemon, among requests that are in
-/// flight at the same servers. Harm prevented: a service without servers, and innocent requests refused. So crashes are
-/// counted over all daemons, a request that some server ran and outlived is cleared, and crashes that a request in
-/// quarantine accounts for do not count against others.
+/// A request may crash every server that runs it and be repeated through any daemon, while other requests are
+/// in flight at the same servers. The service must neither lose all its servers nor refuse innocent requests.
+/// Crashes are therefore counted across all daemons, a request that a server ran without crashing is cleared,
+/// and crashes explained by a quarantined request do not count against others.
 #[derive(Clone, Debug)]
 pub struct Quarantine {
     settings: QuarantineSettings,
     incarnation: Incarnation,
-    reports_made: u64,
+    reports_created: u64,
     suspects: HashMap<Fingerprint, Evidence>,
-    survivors: Survivors,
-    /// Reports of this daemon for the next messages; whoever misses all of them notices by the digest.
+    cleared: ClearedRequests,
+    /// Reports of this daemon to send with the next messages. A daemon that misses all of them detects it by
+    /// the digest.
     pending: RetransmitQueue<Pending>,
     digest: u64,
-    ask_at_us: MonoTime,
-    /// Behind which fingerprint to ask next.
-    asked_after: Option<Fingerprint>,
-    expire_at_us: MonoTime,
+    next_pull_us: MonoTime,
+    /// Fingerprint after which the next request for reports starts; `None` from the beginning.
+    pull_cursor: Option<Fingerprint>,
+    next_expire_us: MonoTime,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -106,46 +108,47 @@
 }
 
 impl Quarantine {
-    /// No evidence, on the daemon with this life.
+    /// Creates an empty state for the daemon with this incarnation.
     pub fn new(settings: QuarantineSettings, incarnation: Incarnation) -> Self {
         Self {
             settings,
             incarnation,
-            reports_made: 0,
+            reports_created: 0,
             suspects: HashMap::new(),
-            survivors: Survivors::new(settings.survivors_max),
+            cleared: ClearedRequests::new(settings.cleared_max),
             pending: RetransmitQueue::default(),
             digest: 0,
-            ask_at_us: MonoTime::default(),
-            asked_after: None,
-            expire_at_us: MonoTime::default(),
+            next_pull_us: MonoTime::default(),
+            pull_cursor: None,
+            next_expire_us: MonoTime::default(),
         }
     }
 
-    /// A server crashed that had the request for `in_flight_ms`.
-    pub fn crashed(
+    /// Records that `server` crashed while the request was in flight there for `in_flight_ms`. Ignored for
+    /// requests that recently ran without a crash.
+    pub fn record_crash(
         &mut self,
         now_us: MonoTime,
         fingerprint: Fingerprint,
         server: BackendServerId,
         in_flight_ms: Millis,
     ) -> Vec<Verdict> {
-        if self.survivors.contains(fingerprint) {
+        if self.cleared.contains(fingerprint) {
             return Vec::new();
         }
-        self.report(now_us, fingerprint, Finding::Crashed { server, in_flight_ms })
+        self.create_report(now_us, fingerprint, Finding::Crashed { server, in_flight_ms })
     }
 
-    /// A server has run the request and lives.
-    pub fn survived(&mut self, now_us: MonoTime, fingerprint: Fingerprint) -> Vec<Verdict> {
-        self.survivors.note(fingerprint);
+    /// Records that a server ran the request without crashing.
+    pub fn record_survival(&mut self, now_us: MonoTime, fingerprint: Fingerprint) -> Vec<Verdict> {
+        self.cleared.record(fingerprint);
         if self.suspects.get(&fingerprint).is_none_or(|evidence| evidence.crashes.is_empty()) {
             return Vec::new();
         }
-        self.report(now_us, fingerprint, Finding::Survived)
+        self.create_report(now_us, fingerprint, Finding::Survived)
     }
 
-    /// Whether a server is known to have crashed under the request.
+    /// Whether a crash is attributed to the request.
     pub fn is_suspect(&self, fingerprint: Fingerprint) -> bool {
         self.suspects.get(&fingerprint).is_some_and(|evidence| !evidence.crashes.is_empty())
     }
@@ -155,39 +158,39 @@
         self.suspects.get(&fingerprint).is_some_and(|evidence| evidence.is_quarantined)
     }
 
-    /// How long the request stays in quarantine, if it is.
+    /// Remaining time in quarantine; `None` if the request is not in quarantine.
     pub fn left_ms(&self, now_us: MonoTime, fingerprint: Fingerprint) -> Option<Millis> {
         let evidence = self.suspects.get(&fingerprint).filter(|evidence| evidence.is_quarantined)?;
-        // It leaves when the last crash is too old without which too few are left.
-        let crashes = evidence.distinct(|_| true);
-        let decisive = crashes.get(self.settings.crashes.saturating_sub(1)).or(crashes.last())?;
-        Some((decisive.at_us + self.settings.evidence_ms).since(self.reckoned(now_us)).to_millis_ceil())
+        // The quarantine ends when the oldest crash that is needed to reach the threshold expires.
+        let crashes = evidence.distinct_crashes(|_| true);
+        let deciding = crashes.get(self.settings.crashes.saturating_sub(1)).or(crashes.last())?;
+        Some((deciding.at_us + self.settings.evidence_ms).since(self.evidence_time(now_us)).to_millis_ceil())
     }
 
-    /// The reports of a request, for saving them.
+    /// Reports of a request, to be saved.
     pub fn reports(&self, now_us: MonoTime, fingerprint: Fingerprint) -> Vec<Report> {
         let evidence = self.suspects.get(&fingerprint);
-        evidence.map(|evidence| evidence.reports(self.reckoned(now_us), fingerprint)).unwrap_or_default()
+        evidence.map(|evidence| evidence.reports(self.evidence_time(now_us), fingerprint)).unwrap_or_default()
     }
 
-    /// Takes reports that were saved.
+    /// Adds saved reports.
     pub fn restore(&mut self, now_us: MonoTime, reports: Vec<Report>) -> Vec<Verdict> {
-        if self.take_all(now_us, reports) { self.evaluate() } else { Vec::new() }
+        if self.add_reports(now_us, reports) { self.evaluate() } else { Vec::new() }
     }
 
-    /// Requests with evidence against them, and those of them in quarantine.
+    /// Numbers of requests with evidence and of requests in quarantine.
     pub fn counts(&self) -> (usize, usize) {
         let quarantined = self.suspects.values().filter(|evidence| evidence.is_quarantined).count();
         (self.suspects.len(), quarantined)
     }
 
-    /// Drops what is too old.
+    /// Drops expired evidence, at most once per `EXPIRE_INTERVAL_MS`.
     pub fn expire(&mut self, now_us: MonoTime) -> Vec<Verdict> {
-        if now_us < self.expire_at_us || self.suspects.is_empty() {
+        if now_us < self.next_expire_us || self.suspects.is_empty() {
             return Vec::new();
         }
-        self.expire_at_us = now_us + EXPIRE_PAUSE_MS;
-        // Reckoned times are later by the age at which evidence expires.
+        self.next_expire_us = now_us + EXPIRE_INTERVAL_MS;
+        // Evidence times are shifted by `evidence_ms`, so the current time is the expiry limit.
         for evidence in self.suspects.values_mut() {
             evidence.expire(now_us);
         }
@@ -195,41 +198,41 @@
         self.evaluate()
     }
 
-    /// What goes into the next message to the other daemons.
+    /// Reports and digest to send with the next message to the other daemons.
     pub fn gossip(&mut self, now_us: MonoTime) -> Gossip {
-        let reckoned_us = self.reckoned(now_us);
+        let evidence_now_us = self.evidence_time(now_us);
         let mut reports = Vec::new();
         for pending in self.pending.take_newest(GOSSIP_REPORTS_MAX) {
             let evidence = self.suspects.get(&pending.fingerprint);
-            let known = evidence.map(|evidence| evidence.reports(reckoned_us, pending.fingerprint));
+            let known = evidence.map(|evidence| evidence.reports(evidence_now_us, pending.fingerprint));
             reports.extend(known.into_iter().flatten().find(|report| report.id == pending.id));
         }
         Gossip { reports, digest: self.digest }
     }
 
-    /// Takes what came with a message of another daemon.
-    pub fn receive(&mut self, now_us: MonoTime, gossip: Gossip) -> Received {
-        let is_news = self.take_all(now_us, gossip.reports);
-        let verdicts = if is_news { self.evaluate() } else { Vec::new() };
-        let asks = gossip.digest != self.digest && now_us >= self.ask_at_us;
-        if asks {
-            self.ask_at_us = now_us + ASK_PAUSE_MS;
+    /// Processes the reports and the digest of another daemon's message.
+    pub fn receive(&mut self, now_us: MonoTime, gossip: Gossip) -> ReceiveOutcome {
+        let is_new = self.add_reports(now_us, gossip.reports);
+        let verdicts = if is_new { self.evaluate() } else { Vec::new() };
+        let is_pull_due = gossip.digest != self.digest && now_us >= self.next_pull_us;
+        if is_pull_due {
+            self.next_pull_us = now_us + PULL_INTERVAL_MS;
         }
-        Received { verdicts, ask: asks.then_some(self.asked_after) }
+        ReceiveOutcome { verdicts, pull_after: is_pull_due.then_some(self.pull_cursor) }
     }
 
-    /// Answers a daemon that asks for the reports behind a fingerprint.
+    /// Reports after a fingerprint, or from the beginning, for a daemon that requests them.
     pub fn page(&self, now_us: MonoTime, after: Option<Fingerprint>) -> ReportPage {
-        let reckoned_us = self.reckoned(now_us);
-        let mut behind: Vec<&Fingerprint> = self
+        let evidence_now_us = self.evidence_time(now_us);
+        let mut remaining: Vec<&Fingerprint> = self
             .suspects
             .keys()
             .filter(|fingerprint| after.is_none_or(|after| **fingerprint > after))
             .collect();
-        behind.sort_unstable();
+        remaining.sort_unstable();
         let mut page = ReportPage::default();
-        for fingerprint in behind {
-            let reports = self.suspects[fingerprint].reports(reckoned_us, *fingerprint);
+        for fingerprint in remaining {
+            let reports = self.suspects[fingerprint].reports(evidence_now_us, *fingerprint);
             if page.reports.len() + reports.len() > PAGE_REPORTS_MAX {
                 page.more_after = page.reports.last().map(|report| report.fingerprint);
                 break;
@@ -239,80 +242,88 @@
         page
     }
 
-    /// Takes an answer to such a question.
-    pub fn receive_page(&mut self, now_us: MonoTime, page: ReportPage) -> Received {
-        let is_news = self.take_all(now_us, page.reports);
-        self.asked_after = page.more_after;
-        if !is_news {
-            self.ask_at_us = now_us + ASK_PAUSE_NO_NEWS_MS;
-            return Received::default();
+    /// Processes a page of reports from another daemon.
+    pub fn receive_page(&mut self, now_us: MonoTime, page: ReportPage) -> ReceiveOutcome {
+        let is_new = self.add_reports(now_us, page.reports);
+        self.pull_cursor = page.more_after;
+        if !is_new {
+            self.next_pull_us = now_us + PULL_BACKOFF_MS;
+            return ReceiveOutcome::default();
         }
-        Received { verdicts: self.evaluate(), ask: page.more_after.map(Some) }
+        ReceiveOutcome { verdicts: self.evaluate(), pull_after: page.more_after.map(Some) }
     }
 
-    /// A time in this daemon's own reckoning, in which what was seen before the process started has a time as well.
-    fn reckoned(&self, now_us: MonoTime) -> MonoTime {
+    /// Shifts a time by `evidence_ms`, so that findings from before the start of the process have a valid
+    /// time.
+    fn evidence_time(&self, now_us: MonoTime) -> MonoTime {
         now_us + self.settings.evidence_ms
     }
 
-    fn report(&mut self, now_us: MonoTime, fingerprint: Fingerprint, finding: Finding) -> Vec<Verdict> {
-        let id = ReportId { incarnation: self.incarnation, sequence: self.reports_made };
-        self.reports_made += 1;
-        if !self.take(now_us, Report { id, fingerprint, finding, age_ms: Millis::ZERO }) {
+    fn create_report(
+        &mut self,
+        now_us: MonoTime,
+        fingerprint: Fingerprint,
+        finding: Finding,
+    ) -> Vec<Verdict> {
+        let id = ReportId { incarnation: self.incarnation, sequence: self.reports_created };
+        self.reports_created += 1;
+        if !self.add_report(now_us, Report { id, fingerprint, finding, age_ms: Millis::ZERO }) {
             return Vec::new();
         }
         self.pending.push(Pending { fingerprint, id });
         self.evaluate()
     }
 
-    fn take_all(&mut self, now_us: MonoTime, reports: Vec<Report>) -> bool {
-        let mut is_news = false;
+    fn add_reports(&mut self, now_us: MonoTime, reports: Vec<Report>) -> bool {
+        let mut is_new = false;
         for report in reports {
-            is_news |= self.take(now_us, report);
+            is_new |= self.add_report(now_us, report);
         }
-        is_news
+        is_new
     }
 
-    /// Takes one report; returns whether it was new.
-    fn take(&mut self, now_us: MonoTime, report: Report) -> bool {
+    /// Adds one report; returns whether it was new.
+    fn add_report(&mut self, now_us: MonoTime, report: Report) -> bool {
         let Report { id, fingerprint, finding, age_ms } = report;
         if age_ms >= self.settings.evidence_ms {
             return false;
         }
-        let at_us = MonoTime(self.reckoned(now_us).0.saturating_sub(Micros::from(age_ms).0));
+        let at_us = MonoTime(self.evidence_time(now_us).0.saturating_sub(Micros::from(age_ms).0));
         let evidence = self.suspects.entry(fingerprint).or_default();
-        let is_news = match finding {
+        let is_new = match finding {
             Finding::Crashed { server, in_flight_ms } => {
                 evidence.add(Crash { id, server, at_us, in_flight_ms })
             }
             Finding::Survived => evidence.clear(id, at_us),
         };
-        if is_news {
-            self.make_room(fingerprint);
+        if is_new {
+            self.evict_over_limit(fingerprint);
         }
-        is_news
+        is_new
     }
 
-    /// Drops a request beyond the bound: one that is not in quarantine, with the fewest crashes, the oldest of those.
-    fn make_room(&mut self, newest: Fingerprint) {
+    /// Evicts one request if there are more than `suspects_max`: preferably not in quarantine, then with the
+    /// fewest crashes, then with the oldest evidence. Never evicts `keep`.
+    fn evict_over_limit(&mut self, keep: Fingerprint) {
         if self.suspects.len() <= self.settings.suspects_max {
             return;
         }
-        let others = self.suspects.iter().filter(|(fingerprint, _)| **fingerprint != newest);
-        let least = others.min_by_key(|(fingerprint, evidence)| {
-            (evidence.is_quarantined, evidence.crashes.len(), evidence.newest_us(), **fingerprint)
+        let others = self.suspects.iter().filter(|(fingerprint, _)| **fingerprint != keep);
+        let victim = others.min_by_key(|(fingerprint, evidence)| {
+            (evidence.is_quarantined, evidence.crashes.len(), evidence.last_seen_us(), **fingerprint)
         });
-        if let Some(least) = least.map(|(fingerprint, _)| *fingerprint) {
-            self.suspects.remove(&least);
+        if let Some(victim) = victim.map(|(fingerprint, _)| *fingerprint) {
+            self.suspects.remove(&victim);
         }
     }
 
-    /// Decides anew which requests are in quarantine; returns what changed.
+    /// Re-evaluates which requests are in quarantine and returns the changes.
     fn evaluate(&mut self) -> Vec<Verdict> {
-        self.digest = self.suspects.values().flat_map(Evidence::ids).fold(0, |sum, id| sum ^ id.digest());
+        self.digest =
+            self.suspects.values().flat_map(Evidence::report_ids).fold(0, |sum, id| sum ^ id.digest());
         let mut verdicts = Vec::new();
         for (fingerprint, evidence) in &mut self.suspects {
-            let crashes = evidence.distinct(|_| true).len();
+            let crashes = evidence.distinct_crashes(|_| true).len();
             if evidence.is_quarantined && crashes < self.settings.crashes {
                 evidence.is_quarantined = false;
                 let verdict =
@@ -321,28 +332,28 @@
             }
         }
         for (fingerprint, crashes) in self.candidates() {
-            let own = {
+            let unexplained = {
                 let evidence = &self.suspects[&fingerprint];
-                evidence.distinct(|crash| !self.is_explained(crash)).len()
+                evidence.distinct_crashes(|crash| !self.is_explained(crash)).len()
             };
-            if own < self.settings.own_crashes {
+            if unexplained < self.settings.unexplained_crashes {
                 continue;
             }
             if let Some(evidence) = self.suspects.get_mut(&fingerprint) {
                 evidence.is_quarantined = true;
-                let is_reporter = evidence.newest_incarnation() == Some(self.incarnation);
+                let is_reporter = evidence.last_reporter() == Some(self.incarnation);
                 verdicts.push(Verdict { fingerprint, is_quarantined: true, crashes, is_reporter });
             }
         }
         verdicts
     }
 
-    /// Requests outside of quarantine with enough crashes, those that most likely cause them first: the most crashes,
-    /// then the shortest time at the servers.
+    /// Requests not in quarantine with enough crashes, ordered by likelihood of causing them: most crashes
+    /// first, then the shortest time in flight.
     fn candidates(&self) -> Vec<(Fingerprint, usize)> {
-        let open = self.suspects.iter().filter(|(_, evidence)| !evidence.is_quarantined);
-        let counted = open.map(|(fingerprint, evidence)| {
-            (*fingerprint, evidence.distinct(|_| true).len(), evidence.in_flight_ms())
+        let unquarantined = self.suspects.iter().filter(|(_, evidence)| !evidence.is_quarantined);
+        let counted = unquarantined.map(|(fingerprint, evidence)| {
+            (*fingerprint, evidence.distinct_crashes(|_| true).len(), evidence.in_flight_ms())
         });
         let mut candidates: Vec<_> =
             counted.filter(|(_, crashes, _)| *crashes >= self.settings.crashes).collect();
@@ -352,7 +363,7 @@
         candidates.into_iter().map(|(fingerprint, crashes, _)| (fingerprint, crashes)).collect()
     }
 
-    /// Whether a request in quarantine was at the server as well.
+    /// Whether a quarantined request was in flight at the same server when it crashed.
     fn is_explained(&self, crash: &Crash) -> bool {
         let quarantined = self.suspects.values().filter(|evidence| evidence.is_quarantined);
         quarantined.flat_map(|evidence| &evidence.crashes).any(|known| known.is_same_as(crash))
--- a/crates/core/src/quota/bucket.rs
+++ b/crates/core/src/quota/bucket.rs
@@ -1,70 +1,71 @@
-//! A token bucket.
+//! Token bucket.
 
 use crate::units::{Credit, CreditPerSecond, Micros, Millis, MonoTime};
 
 const MICROS_PER_SECOND: f64 = 1_000_000.0;
 
-/// A token bucket. It begins with what it is given, never with a full burst: a daemon that starts cannot know what was
-/// spent before, and an empty bucket never holds more than the one it replaces.
+/// Token bucket with a caller-defined initial level rather than a full burst: a restarted daemon does not
+/// know what was spent before, and a bucket that starts empty never holds more than the one it replaces.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bucket {
     rate: CreditPerSecond,
     burst: Credit,
-    /// Below zero after a request that costs more than a burst.
+    /// Negative after a request that costs more than the burst.
     level: f64,
-    filled_us: MonoTime,
+    refilled_us: MonoTime,
 }
 
 impl Bucket {
-    /// A bucket that holds `level` at `now_us`.
+    /// Creates a bucket that holds `level`, at most `burst`, at `now_us`.
     pub fn new(now_us: MonoTime, rate: CreditPerSecond, burst: Credit, level: Credit) -> Self {
-        Self { rate, burst, level: level.min(burst).0 as f64, filled_us: now_us }
+        Self { rate, burst, level: level.min(burst).0 as f64, refilled_us: now_us }
     }
 
-    /// Changes the limits from now on.
+    /// Replaces rate and burst from `now_us` on; the level is cut to the new burst.
     pub fn configure(&mut self, now_us: MonoTime, rate: CreditPerSecond, burst: Credit) {
-        self.fill(now_us);
+        self.refill(now_us);
         self.rate = rate;
         self.burst = burst;
         self.level = self.level.min(burst.0 as f64);
     }
 
-    /// Takes `credit` if it is there. What costs more than a burst is let through by a full bucket and owed by it:
-    /// it would never be let through otherwise.
-    pub fn take(&mut self, now_us: MonoTime, credit: Credit) -> bool {
-        self.fill(now_us);
-        let is_there = self.level >= credit.min(self.burst).0 as f64;
-        if is_there {
+    /// Takes `credit` if it is available. A full bucket admits a request that costs more than the burst and
+    /// goes into debt; such a request would never be admitted otherwise.
+    pub fn try_take(&mut self, now_us: MonoTime, credit: Credit) -> bool {
+        self.refill(now_us);
+        let is_available = self.level >= credit.min(self.burst).0 as f64;
+        if is_available {
             self.level -= credit.0 as f64;
         }
-        is_there
+        is_available
     }
 
-    /// Takes back what was not spent.
-    pub fn put_back(&mut self, now_us: MonoTime, credit: Credit) {
-        self.fill(now_us);
+    /// Returns unspent credit, up to the burst.
+    pub fn refund(&mut self, now_us: MonoTime, credit: Credit) {
+        self.refill(now_us);
         self.level = (self.level + credit.0 as f64).min(self.burst.0 as f64);
     }
 
-    /// What it holds.
+    /// Available credit; zero while the bucket is in debt.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "not negative, and saturating"
     )]
     pub fn level(&mut self, now_us: MonoTime) -> Credit {
-        self.fill(now_us);
+        self.refill(now_us);
         Credit(self.level.max(0.0) as u64)
     }
 
-    /// Time until `credit` can be taken if nobody else takes any. `None` when it never can.
+    /// Time until `credit` can be taken if nothing else is taken. `None` if it is not available and the rate
+    /// is zero.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "not negative, and saturating"
     )]
     pub fn wait_ms(&mut self, now_us: MonoTime, credit: Credit) -> Option<Millis> {
-        self.fill(now_us);
+        self.refill(now_us);
         let missing = credit.min(self.burst).0 as f64 - self.level;
         if missing <= 0.0 {
             return Some(Millis::ZERO);
@@ -73,9 +74,9 @@
         Some(Micros((wait_s * MICROS_PER_SECOND) as u64).to_millis_ceil())
     }
 
-    fn fill(&mut self, now_us: MonoTime) {
-        let passed_s = now_us.since(self.filled_us).0 as f64 / MICROS_PER_SECOND;
-        self.level = (self.level + passed_s * self.rate.0 as f64).min(self.burst.0 as f64);
-        self.filled_us = self.filled_us.max(now_us);
+    fn refill(&mut self, now_us: MonoTime) {
+        let elapsed_s = now_us.since(self.refilled_us).0 as f64 / MICROS_PER_SECOND;
+        self.level = (self.level + elapsed_s * self.rate.0 as f64).min(self.burst.0 as f64);
+        self.refilled_us = self.refilled_us.max(now_us);
     }
 }
--- a/crates/core/src/quota/lease.rs
+++ b/crates/core/src/quota/lease.rs
@@ -1,90 +1,91 @@
-//! Credit that a daemon has leased and not used.
+//! Credit that a daemon leased from a quota and has not spent.
 
 use crate::units::{Credit, Millis, MonoTime};
 
-/// For how long leased credit may be used. Short beside the window of a quota, in which it may be used later than it was
-/// charged; long enough that a busy daemon asks a few times a second only.
-pub const LEASE_LIFE_MS: Millis = Millis(400);
+/// Lifetime of leased credit. Short compared with the quota window, since credit may be spent this much later
+/// than it was charged; long enough that a busy daemon requests credit only a few times per second.
+pub const LEASE_TTL_MS: Millis = Millis(400);
 
 #[derive(Clone, Copy, Debug)]
 struct Lease {
     credit: Credit,
-    until_us: MonoTime,
+    expires_us: MonoTime,
 }
 
-/// Credit that one daemon has leased from one organisation's quota.
+/// Credit that one daemon leased from the quota of one organisation.
 #[derive(Clone, Debug, Default)]
 pub struct LeasedCredit {
-    /// Oldest first.
+    /// Ordered from oldest to newest.
     leases: Vec<Lease>,
-    /// Spent since `spent_from_us`.
+    /// Credit spent since `period_start_us`.
     spent: Credit,
-    spent_before: Credit,
-    spent_from_us: MonoTime,
-    /// Until when the quota is known to be used up for what costs at least so much.
+    spent_in_previous: Credit,
+    period_start_us: MonoTime,
+    /// Cost from which requests are denied, and the end of the denial.
     denied: Option<Lease>,
 }
 
 impl LeasedCredit {
-    /// Adds credit that was asked for at `asked_us`.
+    /// Adds credit requested at `asked_us`; it expires [`LEASE_TTL_MS`] later.
     pub fn add(&mut self, asked_us: MonoTime, credit: Credit) {
         if credit > Credit::ZERO {
-            self.leases.push(Lease { credit, until_us: asked_us + LEASE_LIFE_MS });
+            self.leases.push(Lease { credit, expires_us: asked_us + LEASE_TTL_MS });
         }
     }
 
-    /// Spends `credit` if so much was leased.
+    /// Spends `credit` and returns true if the valid leases cover it; otherwise changes nothing.
     pub fn spend(&mut self, now_us: MonoTime, credit: Credit) -> bool {
-        let live = self.leases.iter().filter(|lease| now_us < lease.until_us);
-        if live.fold(Credit::ZERO, |sum, lease| sum + lease.credit) < credit {
+        let valid = self.leases.iter().filter(|lease| now_us < lease.expires_us);
+        if valid.fold(Credit::ZERO, |sum, lease| sum + lease.credit) < credit {
             return false;
         }
-        let mut missing = credit;
-        for lease in self.leases.iter_mut().filter(|lease| now_us < lease.until_us) {
-            let taken = missing.min(lease.credit);
+        let mut remaining = credit;
+        for lease in self.leases.iter_mut().filter(|lease| now_us < lease.expires_us) {
+            let taken = remaining.min(lease.credit);
             lease.credit -= taken;
-            missing -= taken;
+            remaining -= taken;
         }
         self.leases.retain(|lease| lease.credit > Credit::ZERO);
-        self.roll(now_us);
+        self.roll_period(now_us);
         self.spent += credit;
         true
     }
 
-    /// Removes what ran out unused; it goes back to where it came from.
+    /// Removes expired leases and returns their unspent credit, which is refunded to the ledger.
     pub fn take_expired(&mut self, now_us: MonoTime) -> Credit {
-        let expired = self.leases.iter().filter(|lease| now_us >= lease.until_us);
+        let expired = self.leases.iter().filter(|lease| now_us >= lease.expires_us);
         let credit = expired.fold(Credit::ZERO, |sum, lease| sum + lease.credit);
-        self.leases.retain(|lease| now_us < lease.until_us);
+        self.leases.retain(|lease| now_us < lease.expires_us);
         credit
     }
 
-    /// What this daemon is likely to spend while a lease lives, by what it spent lately.
-    pub fn likely(&mut self, now_us: MonoTime) -> Credit {
-        self.roll(now_us);
-        self.spent.max(self.spent_before)
+    /// Credit that this daemon is expected to spend within the lifetime of a lease: the larger of the amounts
+    /// spent in the current and the previous period.
+    pub fn expected_spend(&mut self, now_us: MonoTime) -> Credit {
+        self.roll_period(now_us);
+        self.spent.max(self.spent_in_previous)
     }
 
-    /// Notes that the quota has no room for `credit` until so much later.
-    pub fn deny(&mut self, now_us: MonoTime, credit: Credit, wait_ms: Millis) {
-        self.denied = Some(Lease { credit, until_us: now_us + wait_ms });
+    /// Records that the quota cannot cover `credit` for the next `wait_ms`.
+    pub fn record_denial(&mut self, now_us: MonoTime, credit: Credit, wait_ms: Millis) {
+        self.denied = Some(Lease { credit, expires_us: now_us + wait_ms });
     }
 
-    /// How long `credit` is known not to be had. Asking again for each request of a surge would load the primary
-    /// without any of them being served.
+    /// Remaining time for which a request of this cost is known to be denied. `None` if it may be granted.
+    /// Avoids loading the primary with a question for each request of a surge that it would deny anyway.
     pub fn denied_ms(&self, now_us: MonoTime, credit: Credit) -> Option<Millis> {
-        let denied = self.denied.filter(|denied| now_us < denied.until_us && credit >= denied.credit)?;
-        Some(denied.until_us.since(now_us).to_millis_ceil())
+        let denied = self.denied.filter(|denied| now_us < denied.expires_us && credit >= denied.credit)?;
+        Some(denied.expires_us.since(now_us).to_millis_ceil())
     }
 
-    fn roll(&mut self, now_us: MonoTime) {
-        let passed_ms = now_us.since(self.spent_from_us).to_millis_ceil();
-        if passed_ms < LEASE_LIFE_MS {
+    fn roll_period(&mut self, now_us: MonoTime) {
+        let elapsed_ms = now_us.since(self.period_start_us).to_millis_ceil();
+        if elapsed_ms < LEASE_TTL_MS {
             return;
         }
-        let is_next = passed_ms.0 < 2 * LEASE_LIFE_MS.0;
-        self.spent_before = if is_next { self.spent } else { Credit::ZERO };
+        let is_adjacent = elapsed_ms.0 < 2 * LEASE_TTL_MS.0;
+        self.spent_in_previous = if is_adjacent { self.spent } else { Credit::ZERO };
         self.spent = Credit::ZERO;
-        self.spent_from_us = now_us;
+        self.period_start_us = now_us;
     }
 }
--- a/crates/core/src/quota/limit.rs
+++ b/crates/core/src/quota/limit.rs
@@ -1,53 +1,56 @@
-//! What an organisation may send.
+//! Quota of an organisation.
 
 use serde::{Deserialize, Serialize};
 
 use crate::units::{Credit, CreditPerSecond, Millis, Tokens};
 
-/// Credit of one request, or of one token.
-pub const UNIT: Credit = Credit(1_000);
+/// Credit that one request or one token costs; credit counts in thousandths of them.
+pub const CREDIT_PER_UNIT: Credit = Credit(1_000);
 
-/// What is counted.
+/// Unit in which a quota counts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum QuotaUnit {
-    /// Requests.
+    /// Number of requests.
     Requests,
-    /// Tokens of prompt and longest answer.
+    /// Tokens of the prompt plus the maximum length of the answer.
     Tokens {
-        /// What a request without tokens counts for.
+        /// Tokens charged for a request that has none.
         plain: Tokens,
     },
 }
 
-/// A rate and a burst, over all daemons together.
+/// Rate and burst, across all daemons.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Quota {
-    /// What is counted.
+    /// Unit in which usage is counted.
     pub unit: QuotaUnit,
-    /// Credit that comes each second.
+    /// Credit added per second.
     pub rate: CreditPerSecond,
-    /// Credit that is saved up at most.
+    /// Maximum accumulated credit.
     pub burst: Credit,
 }
 
 impl Quota {
-    /// What a request costs that has so many tokens of prompt and longest answer, if it has any.
+    /// Cost of a request. `tokens` is the prompt plus the maximum length of the answer, or `None` for a
+    /// request without tokens.
     pub fn cost(&self, tokens: Option<Tokens>) -> Credit {
         match self.unit {
-            QuotaUnit::Requests => UNIT,
-            QuotaUnit::Tokens { plain } => Credit(tokens.unwrap_or(plain).0.saturating_mul(UNIT.0)),
+            QuotaUnit::Requests => CREDIT_PER_UNIT,
+            QuotaUnit::Tokens { plain } => {
+                Credit(tokens.unwrap_or(plain).0.saturating_mul(CREDIT_PER_UNIT.0))
+            }
         }
     }
 }
 
-/// How exactly quotas have to be kept. Callers may send more by this before the installation counts it as a breach.
+/// Tolerance of quota enforcement: how much may be sent beyond a quota before it counts as a violation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaBounds {
-    /// Length of the window in which requests are counted.
+    /// Length of the window in which usage is counted.
     pub window_ms: Millis,
-    /// Part of the quota of a window that may be sent beyond it.
+    /// Fraction of the quota of a window that may be sent beyond it.
     pub overshoot: f64,
-    /// What may be sent beyond that, in requests or tokens.
+    /// Additional requests or tokens that may be sent per window.
     pub slack: f64,
 }
 
@@ -58,7 +61,7 @@
 }
 
 impl QuotaBounds {
-    /// Credit that may be sent in a window beyond `quota`.
+    /// Credit that may be spent beyond `quota` in one window.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -67,6 +70,6 @@
     pub fn tolerance(&self, quota: &Quota) -> Credit {
         let window_s = self.window_ms.0 as f64 / 1_000.0;
         let allowed = quota.rate.0 as f64 * window_s + quota.burst.0 as f64;
-        Credit((allowed * self.overshoot + self.slack * UNIT.0 as f64) as u64)
+        Credit((allowed * self.overshoot + self.slack * CREDIT_PER_UNIT.0 as f64) as u64)
     }
 }
--- a/crates/core/src/quota/mod.rs
+++ b/crates/core/src/quota/mod.rs
@@ -1,13 +1,14 @@
-//! Quotas of organisations and limits of servers, enforced over all daemons together.
+//! Distributed enforcement of organisation quotas and server limits.
 //!
-//! For each organisation one daemon, the primary, keeps the token bucket; the others lease credit from it. An equal part of
-//! the quota for each daemon would stand mostly unused, because an organisation's callers reach few of the daemons.
+//! For each organisation one daemon, the primary, holds the token bucket, and the other daemons lease credit
+//! from it. Equal shares per daemon would stay mostly unused, because the callers of one organisation connect
+//! to few of the daemons.
 //!
-//! - [`Bucket`]: the token bucket.
-//! - [`Ledger`]: grants credit, as primary or as standby.
-//! - [`LeasedCredit`]: credit that a daemon has leased and not spent.
-//! - [`ServerLimits`]: what servers state that they take from all daemons together.
-//! - [`candidates`] and [`Suspicion`]: which daemon to ask.
+//! - [`Bucket`]: token bucket.
+//! - [`Ledger`]: grants credit as primary or standby.
+//! - [`LeasedCredit`]: credit that a daemon leased and has not spent.
+//! - [`ServerLimits`]: total request rates that servers state for all daemons.
+//! - [`candidates`] and [`Suspicion`]: choice of the daemon to request credit from.
 
 mod bucket;
 mod lease;
@@ -17,8 +18,8 @@
 mod suspicion;
 
 pub use bucket::Bucket;
-pub use lease::{LEASE_LIFE_MS, LeasedCredit};
+pub use lease::{LEASE_TTL_MS, LeasedCredit};
 pub use ledger::{Coverage, Grant, Ledger, LedgerRole, LedgerSettings, candidates, outranks};
-pub use limit::{Quota, QuotaBounds, QuotaUnit, UNIT};
-pub use server_limits::{LimitStatement, ServerLimits, server_limit};
+pub use limit::{CREDIT_PER_UNIT, Quota, QuotaBounds, QuotaUnit};
+pub use server_limits::{LimitStatement, ServerLimits, server_limit_settings};
 pub use suspicion::Suspicion;
--- a/crates/core/src/quota/server_limits.rs
+++ b/crates/core/src/quota/server_limits.rs
@@ -1,4 +1,4 @@
-//! Limits that backend servers state in their answers.
+//! Request limits that backend servers state in their responses.
 
 use std::collections::HashMap;
 
@@ -10,117 +10,118 @@
 use crate::retransmit::RetransmitQueue;
 use crate::units::{Credit, CreditPerSecond, Micros, Millis, MonoTime};
 
-/// Changes in one message. A message fits a datagram beside what else it holds.
-const GOSSIP_MAX: usize = 16;
+/// Maximum number of statements per message, so that it fits a datagram together with its other contents.
+const GOSSIP_STATEMENTS_MAX: usize = 16;
 
-/// Window in which the requests at a server are counted.
+/// Window in which the requests to a server are counted.
 const WINDOW_MS: Millis = Millis(4_000);
 
-/// Part of the limit that daemons who stand in for the one in charge may grant beyond it in a window. Half of it may
-/// reach the server; several may stand in at once.
-const OVERSHOOT: f64 = 0.3;
+/// Fraction of the limit that standby daemons may grant beyond it in a window. Several standbys may be active
+/// at once; in total, 1.5 times the limit may reach the server.
+const OVERSHOOT_FRACTION: f64 = 0.3;
 
-/// Requests that may reach it beyond that in a window.
-const SLACK: f64 = 5.0;
+/// Additional requests that may reach a server per window.
+const SLACK_REQUESTS: f64 = 5.0;
 
-/// How a server's limit is kept, in the terms of a quota: it has no burst of its own.
-pub fn server_limit(rate: CreditPerSecond) -> LedgerSettings {
+/// Ledger settings that enforce the limit of a server; such a limit has no burst.
+pub fn server_limit_settings(rate: CreditPerSecond) -> LedgerSettings {
     LedgerSettings {
         quota: Quota { unit: QuotaUnit::Requests, rate, burst: Credit::ZERO },
-        bounds: QuotaBounds { window_ms: WINDOW_MS, overshoot: OVERSHOOT, slack: SLACK },
+        bounds: QuotaBounds { window_ms: WINDOW_MS, overshoot: OVERSHOOT_FRACTION, slack: SLACK_REQUESTS },
     }
 }
 
-/// The newest statement of a server, as daemons exchange it.
+/// Latest limit of a server, as exchanged between daemons.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct LimitStatement {
-    /// The server.
+    /// Server that stated the limit.
     pub server: BackendServerId,
-    /// Requests that it takes from all daemons together, in thousandths; no limit where it is absent.
+    /// Thousandths of a request per second, from all daemons together; `None` if the limit was withdrawn.
     pub rate: Option<CreditPerSecond>,
-    /// Time since the server answered with it.
+    /// Time since the server sent the limit.
     pub age_ms: Millis,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Stated {
+struct KnownLimit {
     rate: Option<CreditPerSecond>,
     at_us: MonoTime,
 }
 
-/// The newest statement of each server that has ever stated a limit.
+/// Latest limit of each server that has ever stated one.
 ///
-/// Load: servers in need that state, change and withdraw limits within seconds. Harm prevented: an older answer, or
-/// another daemon's older word, that takes a newer statement back. So the newest counts, and a withdrawn limit is
-/// remembered as long as its server is listed.
+/// Overloaded servers state, change and withdraw limits within seconds, and a delayed response or an outdated
+/// message of another daemon must not override a newer limit. The newest statement therefore wins, and a
+/// withdrawn limit is remembered as long as its server is listed.
 #[derive(Clone, Debug, Default)]
 pub struct ServerLimits {
-    stated: HashMap<BackendServerId, Stated>,
-    /// Changes for the next messages; a daemon that misses all of them learns them from its own answers.
+    known: HashMap<BackendServerId, KnownLimit>,
+    /// Changes to send with the next messages. A daemon that misses all of them learns the limit from its own
+    /// responses.
     pending: RetransmitQueue<BackendServerId>,
 }
 
 impl ServerLimits {
-    /// A server answered this daemon, with a limit or without. Returns whether the limit changed.
+    /// Records the limit in a server's response, or its absence. Returns whether the limit changed.
     pub fn answered(
         &mut self,
         now_us: MonoTime,
         server: &BackendServerId,
         rate: Option<CreditPerSecond>,
     ) -> bool {
-        if rate.is_none() && !self.stated.contains_key(server) {
+        if rate.is_none() && !self.known.contains_key(server) {
             return false;
         }
-        let is_change = self.take(server, Stated { rate, at_us: now_us });
+        let is_change = self.store(server, KnownLimit { rate, at_us: now_us });
         if is_change {
-            self.pending.retain(|known| known != server);
+            self.pending.retain(|pending| pending != server);
             self.pending.push(server.clone());
         }
         is_change
     }
 
-    /// Merges a statement from another daemon. Returns whether the limit changed.
+    /// Merges a statement of another daemon. Returns whether the limit changed.
     pub fn merge(&mut self, now_us: MonoTime, statement: &LimitStatement) -> bool {
         let LimitStatement { ref server, rate, age_ms } = *statement;
         let at_us = MonoTime(now_us.0.saturating_sub(Micros::from(age_ms).0));
-        let is_older = self.stated.get(server).is_some_and(|known| known.at_us >= at_us);
-        !is_older && self.take(server, Stated { rate, at_us })
+        let is_stale = self.known.get(server).is_some_and(|limit| limit.at_us >= at_us);
+        !is_stale && self.store(server, KnownLimit { rate, at_us })
     }
 
-    /// The limit of a server, if it states one.
+    /// Limit of a server; `None` if it states none.
     pub fn rate(&self, server: &BackendServerId) -> Option<CreditPerSecond> {
-        self.stated.get(server)?.rate
+        self.known.get(server)?.rate
     }
 
-    /// The newest statement of a server, for telling others of it.
+    /// Latest statement of a server, to send to other daemons. `None` if the server never stated a limit.
     pub fn statement(&self, now_us: MonoTime, server: &BackendServerId) -> Option<LimitStatement> {
-        let stated = self.stated.get(server)?;
-        let age_ms = now_us.since(stated.at_us).to_millis_ceil();
-        Some(LimitStatement { server: server.clone(), rate: stated.rate, age_ms })
+        let limit = self.known.get(server)?;
+        let age_ms = now_us.since(limit.at_us).to_millis_ceil();
+        Some(LimitStatement { server: server.clone(), rate: limit.rate, age_ms })
     }
 
-    /// Servers that state a limit now.
+    /// Number of servers that currently state a limit.
     pub fn limited(&self) -> usize {
-        self.stated.values().filter(|stated| stated.rate.is_some()).count()
+        self.known.values().filter(|limit| limit.rate.is_some()).count()
     }
 
-    /// What goes into the next message to the other daemons.
+    /// Statements to send with the next message to the other daemons.
     pub fn gossip(&mut self, now_us: MonoTime) -> Vec<LimitStatement> {
-        let due = self.pending.take_oldest(GOSSIP_MAX);
-        due.iter().filter_map(|server| self.statement(now_us, server)).collect()
+        let batch = self.pending.take_oldest(GOSSIP_STATEMENTS_MAX);
+        batch.iter().filter_map(|server| self.statement(now_us, server)).collect()
     }
 
-    /// Forgets servers that are gone.
+    /// Removes servers that are no longer listed.
     pub fn retain<IsListed>(&mut self, is_listed: IsListed)
     where
         IsListed: Fn(&BackendServerId) -> bool,
     {
-        self.stated.retain(|server, _| is_listed(server));
+        self.known.retain(|server, _| is_listed(server));
         self.pending.retain(is_listed);
     }
 
-    fn take(&mut self, server: &BackendServerId, stated: Stated) -> bool {
-        let before = self.stated.insert(server.clone(), stated);
-        before.and_then(|before| before.rate) != stated.rate
+    fn store(&mut self, server: &BackendServerId, limit: KnownLimit) -> bool {
+        let previous = self.known.insert(server.clone(), limit);
+        previous.and_then(|previous| previous.rate) != limit.rate
     }
 }
--- a/crates/core/src/quota/suspicion.rs
+++ b/crates/core/src/quota/suspicion.rs
@@ -1,18 +1,18 @@
-//! Suspecting a daemon that does not answer.
+//! Suspicion of daemons that do not answer.
 
 use crate::units::{Millis, MonoTime};
 
-/// Timeouts in a row after which a daemon is suspected. With fewer, a link that loses packets would have credit granted
-/// twice, by the primary and by a standby.
-const TIMEOUTS_MAX: u32 = 3;
+/// Consecutive timeouts after which a daemon is suspected. With fewer, packet loss on a link would make the
+/// primary and a standby grant the same credit twice.
+const TIMEOUTS_TO_SUSPECT: u32 = 3;
 
-/// For how long it is suspected at first; doubled each time until it answers.
-const SUSPECT_MS: Millis = Millis(250);
+/// Duration of the first suspicion; doubled each time until the daemon answers.
+const INITIAL_SUSPICION_MS: Millis = Millis(250);
 
-/// Doublings at most; by then membership shows who is gone.
+/// Maximum number of doublings; by then the membership protocol has detected a failed daemon.
 const DOUBLINGS_MAX: u32 = 2;
 
-/// The timeouts of one daemon.
+/// Consecutive timeouts of one daemon.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Suspicion {
     timeouts: u32,
@@ -21,17 +21,17 @@
 }
 
 impl Suspicion {
-    /// A question to it timed out.
-    pub fn note_timeout(&mut self, now_us: MonoTime) {
+    /// Records that a request to the daemon timed out.
+    pub fn record_timeout(&mut self, now_us: MonoTime) {
         self.timeouts += 1;
-        if self.timeouts >= TIMEOUTS_MAX {
-            self.until_us = now_us + Millis(SUSPECT_MS.0 << self.doublings);
+        if self.timeouts >= TIMEOUTS_TO_SUSPECT {
+            self.until_us = now_us + Millis(INITIAL_SUSPICION_MS.0 << self.doublings);
             self.doublings = (self.doublings + 1).min(DOUBLINGS_MAX);
             self.timeouts = 0;
         }
     }
 
-    /// Whether to ask another daemon instead.
+    /// Whether the daemon is suspected, so that another one should be asked.
     pub fn is_suspected(&self, now_us: MonoTime) -> bool {
         now_us < self.until_us
     }
--- a/crates/core/src/relay/engines/admission.rs
+++ b/crates/core/src/relay/engines/admission.rs
@@ -5,7 +5,7 @@
 use super::events::{Demand, EngineAction, EngineRefusal, Role};
 use super::open_request::{OpenRequest, Payment, Stage};
 use super::prefill::START_MARGIN_MS;
-use crate::allowance::ASK_AGAIN_MS;
+use crate::allowance::LENDER_TIMEOUT_MS;
 use crate::ids::RequestId;
 use crate::outcome::{Attempts, Outcome};
 use crate::units::{Micros, Millis, MonoTime, Tokens};
@@ -15,7 +15,7 @@
     /// when no engine can become free for them in time.
     pub(super) fn arrive(&mut self, now_us: MonoTime, demand: Demand, actions: &mut Vec<EngineAction>) {
         self.counters.arrivals += 1;
-        self.budget.arrived();
+        self.budget.deposit();
         let hinted = demand.answer_tokens_hint.unwrap_or(Tokens(demand.answer_tokens_max.0 / 2));
         self.own_stats.stats.record_prompt(demand.prompt_tokens, hinted);
         let request_id = demand.request_id;
@@ -180,7 +180,7 @@
         };
         let expiry_us = self.waiting.iter().map(expiry).min();
         let needs_payment = self.waiting.iter().any(|request_id| self.open[request_id].needs_payment());
-        let recheck_ms = if needs_payment { ASK_AGAIN_MS } else { RECHECK_MS };
+        let recheck_ms = if needs_payment { LENDER_TIMEOUT_MS } else { RECHECK_MS };
         let retry_us = (!self.waiting.is_empty()).then(|| now_us + recheck_ms);
         let Some(at_us) = [expiry_us, retry_us].into_iter().flatten().min() else {
             return;
--- a/crates/core/src/relay/engines/events.rs
+++ b/crates/core/src/relay/engines/events.rs
@@ -4,7 +4,7 @@
 
 use super::memory::Growth;
 use super::stats::WorkloadStats;
-use crate::allowance::Ask;
+use crate::allowance::LoanRequest;
 use crate::ids::{BackendServerId, HostId, RequestId};
 use crate::outcome::Repeatability;
 use crate::sched::{FailureCause, LimitReached};
@@ -264,7 +264,7 @@
         request_id: RequestId,
     },
     /// Ask another daemon for retry credit.
-    Borrow(Ask),
+    Borrow(LoanRequest),
     /// Send `EngineEvent::Tick` at the given time.
     Wake {
         /// When to send it.
--- a/crates/core/src/relay/engines/placement.rs
+++ b/crates/core/src/relay/engines/placement.rs
@@ -134,7 +134,7 @@
         // A repeated prefill and a repeated decode are charged one each, and so is a refused prefill. If the
         // budget does not cover that, the decode engine prefills the prompt: slower, but free.
         let price = u64::from(open.prefills > 0) + u64::from(open.needs_payment());
-        let can_pay = self.budget.has(now_us, price);
+        let can_pay = self.budget.can_afford(now_us, price);
         let prefill_engine = match held {
             None if can_pay => self.choose_prefill_engine(now_us, failed_at).filter(|&prefill_engine| {
                 !self.should_prefill_on_decode_engine(now_us, decode_engine, prefill_engine, open)
@@ -183,7 +183,7 @@
         open.stage = Stage::Decoding { decode_engine, since_us: now_us, own_prefill_tokens };
         self.engines[decode_engine].add_prefill(own_prefill_tokens);
         let is_further = open.attempts.made() > 0;
-        let is_paid = !open.needs_payment() || self.budget.withdraw(now_us);
+        let is_paid = !open.needs_payment() || self.budget.try_withdraw(now_us);
         open.payment = Payment::None;
         if !is_paid || open.attempts.begin().is_err() {
             self.counters.retries_denied += 1;
--- a/crates/core/src/relay/engines/retry_payment.rs
+++ b/crates/core/src/relay/engines/retry_payment.rs
@@ -3,7 +3,7 @@
 use super::EnginePool;
 use super::events::EngineAction;
 use super::open_request::Payment;
-use crate::allowance::LOAN_WAIT_MS;
+use crate::allowance::LOAN_TIMEOUT_MS;
 use crate::ids::RequestId;
 use crate::units::MonoTime;
 
@@ -26,7 +26,7 @@
         }
         let mut unpaid = 0;
         for request_id in owing {
-            let is_paid = self.budget.withdraw(now_us);
+            let is_paid = self.budget.try_withdraw(now_us);
             let Some(open) = self.open.get_mut(&request_id) else {
                 continue;
             };
@@ -34,7 +34,7 @@
                 _ if is_paid => open.payment = Payment::Paid,
                 Payment::Awaited { until_us } if now_us < until_us && self.budget.may_borrow() => unpaid += 1,
                 Payment::None if self.budget.may_borrow() => {
-                    open.payment = Payment::Awaited { until_us: now_us + LOAN_WAIT_MS };
+                    open.payment = Payment::Awaited { until_us: now_us + LOAN_TIMEOUT_MS };
                     unpaid += 1;
                 }
                 Payment::None | Payment::Awaited { .. } | Payment::Paid => {
@@ -44,7 +44,7 @@
                 }
             }
         }
-        if let Some(ask) = self.budget.ask(now_us, unpaid) {
+        if let Some(ask) = self.budget.request_loan(now_us, unpaid) {
             actions.push(EngineAction::Borrow(ask));
         }
     }
--- a/crates/core/src/sched/plain.rs
+++ b/crates/core/src/sched/plain.rs
@@ -9,10 +9,10 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::allowance::{ASK_AGAIN_MS, Allowance, AllowanceSettings, LOAN_WAIT_MS};
+use crate::allowance::{Allowance, AllowanceSettings, LENDER_TIMEOUT_MS, LOAN_TIMEOUT_MS};
 use crate::ids::{BackendServerId, PartnerId, RequestId};
 use crate::outcome::{Attempts, NoRetry, Outcome, Repeatability};
-use crate::quota::UNIT;
+use crate::quota::CREDIT_PER_UNIT;
 use crate::slots::{FairQueue, QueueSettings, Waiting};
 use crate::units::{Micros, Millis, MonoTime};
 
@@ -172,7 +172,7 @@
             }
             PlainEvent::Lent { number, credit, spare } => {
                 if let Some(allowance) = self.allowance() {
-                    allowance.lent(now_us, number, credit, spare);
+                    allowance.receive(now_us, number, credit, spare);
                 }
             }
             PlainEvent::Limited { server, reached } => {
@@ -217,7 +217,7 @@
                 .entry(arrival.partner.clone())
                 .or_insert_with(|| RetryBudget::new(retry_percent, retry_burst))
                 .deposit(),
-            RetrySource::Shared(allowance) => allowance.arrived(),
+            RetrySource::Shared(allowance) => allowance.deposit(),
         }
         let request_id = arrival.request_id;
         if self.calls.contains_key(&request_id) {
@@ -278,7 +278,7 @@
         let recent =
             self.limited_starts.iter().filter(|at_us| now_us < **at_us + LIMITED_STARTS_WINDOW_MS).count();
         let behind_us = match recent as u64 {
-            0 => ahead * UNIT.0 * MICROS_PER_SECOND / rate.max(1),
+            0 => ahead * CREDIT_PER_UNIT.0 * MICROS_PER_SECOND / rate.max(1),
             recent => ahead * Micros::from(LIMITED_STARTS_WINDOW_MS).0 / recent,
         };
         Some(available_us.since(now_us) + Micros(behind_us))
@@ -506,12 +506,12 @@
             RetrySource::PerPartner(budgets) => {
                 (budgets.get_mut(&call.arrival.partner).is_some_and(RetryBudget::withdraw), false)
             }
-            RetrySource::Shared(allowance) => (allowance.withdraw(now_us), allowance.may_borrow()),
+            RetrySource::Shared(allowance) => (allowance.try_withdraw(now_us), allowance.may_borrow()),
         };
         if funded {
             self.schedule_retry(now_us, request_id);
         } else if may_borrow {
-            self.unfunded.push(UnfundedRetry { request_id, until_us: now_us + LOAN_WAIT_MS });
+            self.unfunded.push(UnfundedRetry { request_id, until_us: now_us + LOAN_TIMEOUT_MS });
         } else {
             self.counters.retries_denied += 1;
             self.end_without_retry(request_id, actions);
@@ -538,9 +538,9 @@
         let RetrySource::Shared(allowance) = &mut self.retry_source else {
             return;
         };
-        let affordable = self.unfunded.iter().take_while(|_| allowance.withdraw(now_us)).count();
+        let affordable = self.unfunded.iter().take_while(|_| allowance.try_withdraw(now_us)).count();
         let funded: Vec<UnfundedRetry> = self.unfunded.drain(..affordable).collect();
-        if let Some(ask) = allowance.ask(now_us, self.unfunded.len() as u64) {
+        if let Some(ask) = allowance.request_loan(now_us, self.unfunded.len() as u64) {
             actions.push(PlainAction::Borrow(ask));
         }
         let may_borrow = allowance.may_borrow();
@@ -644,7 +644,7 @@
                 self.instances.iter().filter_map(available_at).min()
             })
             .flatten();
-        let ask_us = (!self.unfunded.is_empty()).then(|| now_us + ASK_AGAIN_MS);
+        let ask_us = (!self.unfunded.is_empty()).then(|| now_us + LENDER_TIMEOUT_MS);
         let Some(at_us) = [retry_us, expiry_us, available_us, ask_us].into_iter().flatten().min() else {
             return;
         };
--- a/crates/core/src/sched/plain_events.rs
+++ b/crates/core/src/sched/plain_events.rs
@@ -1,6 +1,6 @@
 //! Inputs and outputs of the scheduler of a plain service.
 
-use crate::allowance::Ask;
+use crate::allowance::LoanRequest;
 use crate::ids::{BackendServerId, PartnerId, RequestId};
 use crate::units::{Credit, Micros, Millis, MonoTime};
 
@@ -139,7 +139,7 @@
         request_id: RequestId,
     },
     /// Ask another daemon to lend retry credit.
-    Borrow(Ask),
+    Borrow(LoanRequest),
     /// Send [`PlainEvent::Tick`] at this time.
     Wake {
         /// Wake-up time.
--- a/crates/core/tests/allowance/main.rs
+++ b/crates/core/tests/allowance/main.rs
@@ -1,5 +1,5 @@
-//! Further tries that hundreds of daemons share, in virtual time with messages that are lost, late and doubled.
-#![allow(clippy::pedantic, reason = "a world of fakes in short form")]
+//! Retry budget shared by hundreds of daemons, in virtual time with lost, delayed and duplicated messages.
+#![allow(clippy::pedantic, reason = "a simulation in condensed form")]
 
-mod parts;
-mod world;
+mod lending;
+mod simulation;
--- a/crates/core/tests/quarantine/fingerprint.rs
+++ b/crates/core/tests/quarantine/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What counts as the same request.
+//! Identity of requests by fingerprint, and the size of reports.
 
 use hibiscusvale_core::ids::{Incarnation, PartnerId};
 use hibiscusvale_core::quarantine::{
@@ -15,14 +15,14 @@
     body: b"body",
 };
 
-/// The name of a host has no case.
+/// Host names compare without regard to case.
 #[test]
 fn the_same_request_has_the_same_fingerprint() {
     let again = RequestIdentity { host: "Shop.Example", ..REQUEST };
     assert_eq!(Fingerprint::of(&REQUEST), Fingerprint::of(&again));
 }
 
-/// An innocent request must not be taken for one that crashes servers.
+/// An innocent request must not be mistaken for one that crashes servers.
 #[rstest]
 #[case(RequestIdentity { method: "GET", ..REQUEST })]
 #[case(RequestIdentity { host: "other.example", ..REQUEST })]
@@ -35,9 +35,9 @@
     assert_ne!(Fingerprint::of(&REQUEST), Fingerprint::of(&other));
 }
 
-/// Two organisations may send the same body.
+/// Two organisations may send identical bodies.
 #[test]
-fn each_organisation_has_its_own() {
+fn each_organisation_has_its_own_fingerprint() {
     let [one, other]: [PartnerId; 2] = ["one", "other"].map(|name| name.parse().unwrap());
     let of =
         |partner| Fingerprint::of(&RequestIdentity { caller: CallerIdentity::Partner(partner), ..REQUEST });
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_fingerprint_is_read_as_it_is_written() {
+fn display_and_parse_round_trip() {
     let fingerprint = Fingerprint::of(&REQUEST);
     assert_eq!(fingerprint.to_string().parse(), Ok(fingerprint));
     for text in ["0123".to_owned(), "zz".repeat(16)] {
@@ -53,9 +53,9 @@
     }
 }
 
-/// Reports go to hundreds of daemons.
+/// Reports are sent to hundreds of daemons.
 #[test]
-fn a_report_is_small() {
+fn encoded_report_is_small() {
     let report = Report {
         id: ReportId { incarnation: Incarnation::new(1_800_000_000_000, 7), sequence: 300 },
         fingerprint: Fingerprint::of(&REQUEST),
--- a/crates/core/tests/quarantine/harm.rs
+++ b/crates/core/tests/quarantine/harm.rs
@@ -1,98 +1,107 @@
-//! What a request that crashes servers can do among many daemons.
+//! Limits on the harm that a crashing request can do across many daemons.
 
 use rstest::rstest;
 
-use crate::world::{CALM, Trouble, World};
+use crate::simulation::{CRASHES_ONLY, Faults, Simulation};
 
-/// Times that a crashing request may be sent to servers by daemons that had the time to know.
-const SENT_LATE_MAX: usize = 3;
+/// How often a crashing request may still be sent to servers after the propagation bound.
+const SENT_AFTER_BOUND_MAX: usize = 3;
 
 const SECOND_MS: u64 = 1_000;
 
-fn play(daemons: usize, servers: usize, trouble: Trouble, seed: u64, end_ms: u64) -> World {
-    let mut world = World::new(daemons, servers, trouble, seed);
-    world.play(end_ms);
-    for (number, harm) in world.harms.iter().enumerate() {
+fn simulate(daemons: usize, servers: usize, faults: Faults, seed: u64, end_ms: u64) -> Simulation {
+    let mut simulation = Simulation::new(daemons, servers, faults, seed);
+    simulation.run(end_ms);
+    for (number, stats) in simulation.crash_stats.iter().enumerate() {
         println!(
-            "{daemons} daemons, seed {seed}, request {number}: {} crashes, {} late; innocent refused {} of {}",
-            harm.crashed_ms.len(),
-            harm.sent_late(),
-            world.innocent_refused,
-            world.innocent_sent,
+            "{daemons} daemons, seed {seed}, request {number}: {} crashes, sent {} times after the bound; innocent refused {} of {}",
+            stats.crashed_ms.len(),
+            stats.sent_after_bound(),
+            simulation.innocent_refused,
+            simulation.innocent_sent,
+        );
+        assert!(
+            stats.sent_after_bound() <= SENT_AFTER_BOUND_MAX,
+            "sent {} times after the bound: {stats:?}",
+            stats.sent_after_bound()
         );
-        assert!(harm.sent_late() <= SENT_LATE_MAX, "sent {} times more: {harm:?}", harm.sent_late());
     }
-    world
+    simulation
 }
 
-/// Each crash is seen by another daemon, and none sees three.
+/// Each crash is observed by a different daemon, and no daemon observes three.
 #[rstest]
 #[case(9, 11)]
 #[case(58, 40)]
 #[case(195, 60)]
 #[case(413, 80)]
-fn all_daemons_know_within_the_bound(#[case] daemons: usize, #[case] servers: usize) {
-    let world = play(daemons, servers, CALM, 1, 9 * SECOND_MS);
-    assert!(world.harms[0].crashed_ms.len() <= 4, "{:?}", world.harms[0].crashed_ms);
-    assert_eq!(world.innocent_refused, 0);
+fn quarantine_reaches_all_daemons_within_the_bound(#[case] daemons: usize, #[case] servers: usize) {
+    let simulation = simulate(daemons, servers, CRASHES_ONLY, 1, 9 * SECOND_MS);
+    assert!(simulation.crash_stats[0].crashed_ms.len() <= 4, "{:?}", simulation.crash_stats[0].crashed_ms);
+    assert_eq!(simulation.innocent_refused, 0);
 }
 
-/// Messages are lost by the tenth or by the third; a lost report is noticed by the digest.
+/// A tenth or a third of the messages is lost; a missing report is detected by the digest.
 #[rstest]
-fn lost_messages_delay_what_is_known(#[values(9, 58, 195)] daemons: usize, #[values(10, 33)] lost: u32) {
+fn quarantine_spreads_despite_lost_messages(
+    #[values(9, 58, 195)] daemons: usize,
+    #[values(10, 33)] lost: u32,
+) {
     for seed in 0..3 {
-        play(daemons, 40, Trouble { lost, ..CALM }, seed, 9 * SECOND_MS);
+        simulate(daemons, 40, Faults { lost, ..CRASHES_ONLY }, seed, 9 * SECOND_MS);
     }
 }
 
-/// A third of the daemons is cut off while the request crashes servers on the other side, and knows once it is back.
+/// A third of the daemons is partitioned off while the request crashes servers on the other side. They must
+/// learn of the quarantine after the partition heals.
 #[rstest]
-fn daemons_that_were_cut_off_know_when_they_are_back(#[values(9, 58, 195)] daemons: usize) {
+fn partitioned_daemons_learn_the_quarantine_after_healing(#[values(9, 58, 195)] daemons: usize) {
     for seed in 0..3 {
-        let trouble = Trouble { cut_ms: Some((500, 8 * SECOND_MS)), lost: 10, ..CALM };
-        play(daemons, 40, trouble, seed, 14 * SECOND_MS);
+        let faults = Faults { partition_ms: Some((500, 8 * SECOND_MS)), lost: 10, ..CRASHES_ONLY };
+        simulate(daemons, 40, faults, seed, 14 * SECOND_MS);
     }
 }
 
-/// Every second daemon starts again after the verdict, and has forgotten it.
+/// Half of the daemons restart after the verdict without their state.
 #[rstest]
-fn daemons_that_start_again_learn_it(#[values(9, 58, 195)] daemons: usize) {
+fn restarted_daemons_learn_the_quarantine(#[values(9, 58, 195)] daemons: usize) {
     for seed in 0..3 {
-        let trouble = Trouble { restart_ms: Some(5 * SECOND_MS), lost: 10, ..CALM };
-        play(daemons, 40, trouble, seed, 12 * SECOND_MS);
+        let faults = Faults { restart_ms: Some(5 * SECOND_MS), lost: 10, ..CRASHES_ONLY };
+        simulate(daemons, 40, faults, seed, 12 * SECOND_MS);
     }
 }
 
-/// It comes seldom, seconds apart.
+/// The request repeats only every 7 s.
 #[test]
-fn a_request_that_comes_seldom_is_remembered() {
-    let world = play(9, 11, Trouble { comes_each_ms: 7_000, ..CALM }, 5, 90 * SECOND_MS);
-    assert!(world.harms[0].crashed_ms.len() <= 4, "{:?}", world.harms[0].crashed_ms);
+fn infrequent_crashing_request_is_quarantined() {
+    let simulation = simulate(9, 11, Faults { repeat_interval_ms: 7_000, ..CRASHES_ONLY }, 5, 90 * SECOND_MS);
+    assert!(simulation.crash_stats[0].crashed_ms.len() <= 4, "{:?}", simulation.crash_stats[0].crashed_ms);
 }
 
-/// Servers are killed for another reason all the while. Requests that were at several of them are not to blame.
+/// Servers are also killed for unrelated reasons. Requests that were in flight at several of them must not be
+/// quarantined.
 #[rstest]
 fn innocent_requests_are_served_while_servers_are_killed(#[values(0, 1, 4)] crashing: usize) {
     let mut refused = 0;
     for seed in 0..20 {
-        let trouble = Trouble { kill_each_ms: Some(900), crashing, lost: 3, ..CALM };
-        refused += play(9, 11, trouble, seed, 30 * SECOND_MS).innocent_refused;
+        let faults = Faults { kill_interval_ms: Some(900), crashing, lost: 3, ..CRASHES_ONLY };
+        refused += simulate(9, 11, faults, seed, 30 * SECOND_MS).innocent_refused;
     }
     assert_eq!(refused, 0);
 }
 
-/// The same with so many kills and crashing requests at once that crashes coincide.
+/// The same with kills and crashing requests so frequent that crashes coincide.
 #[rstest]
 fn innocent_requests_are_served_while_crashes_coincide(#[values(67, 128, 235, 457)] seed: u64) {
-    let trouble = Trouble { kill_each_ms: Some(900), crashing: 4, lost: 3, ..CALM };
-    assert_eq!(play(9, 11, trouble, seed, 30 * SECOND_MS).innocent_refused, 0);
+    let faults = Faults { kill_interval_ms: Some(900), crashing: 4, lost: 3, ..CRASHES_ONLY };
+    assert_eq!(simulate(9, 11, faults, seed, 30 * SECOND_MS).innocent_refused, 0);
 }
 
-/// Several requests crash servers at once; each is found.
+/// Several requests crash servers at the same time; each one has to be quarantined.
 #[test]
-fn several_at_once_are_each_found() {
+fn several_crashing_requests_are_each_quarantined() {
     for seed in 0..10 {
-        let world = play(9, 11, Trouble { crashing: 4, ..CALM }, seed, 20 * SECOND_MS);
-        assert_eq!(world.innocent_refused, 0);
+        let simulation = simulate(9, 11, Faults { crashing: 4, ..CRASHES_ONLY }, seed, 20 * SECOND_MS);
+        assert_eq!(simulation.innocent_refused, 0);
     }
 }
--- a/crates/core/tests/quarantine/main.rs
+++ b/crates/core/tests/quarantine/main.rs
@@ -1,6 +1,6 @@
-//! Requests that crash the servers that run them.
+//! Quarantine of requests that crash the servers running them.
 #![allow(clippy::pedantic, reason = "fakes and expectations in short form")]
 
 mod fingerprint;
 mod harm;
-mod world;
+mod simulation;
--- a/crates/core/tests/quota/bucket.rs
+++ b/crates/core/tests/quota/bucket.rs
@@ -8,39 +8,39 @@
 }
 
 #[test]
-fn it_fills_at_its_rate_up_to_its_burst() {
+fn bucket_refills_at_the_rate_up_to_the_burst() {
     let mut bucket = Bucket::new(at(0), CreditPerSecond(1_000), Credit(2_000), Credit(500));
-    assert!(!bucket.take(at(0), Credit(600)));
+    assert!(!bucket.try_take(at(0), Credit(600)));
     assert_eq!(bucket.wait_ms(at(0), Credit(600)), Some(Millis(100)));
-    assert!(bucket.take(at(100), Credit(600)));
+    assert!(bucket.try_take(at(100), Credit(600)));
     assert_eq!(bucket.level(at(60_000)), Credit(2_000));
 }
 
-/// A prompt costs more than a burst. It must be let through some time, and be paid for afterwards.
+/// A prompt may cost more than the burst. It must be admitted eventually and be paid for afterwards.
 #[test]
-fn what_costs_more_than_a_burst_is_let_through_by_a_full_bucket() {
+fn full_bucket_admits_a_cost_above_the_burst() {
     let mut bucket = Bucket::new(at(0), CreditPerSecond(1_000), Credit(2_000), Credit(1_999));
-    assert!(!bucket.take(at(0), Credit(5_000)));
-    assert!(bucket.take(at(1), Credit(5_000)));
-    assert!(!bucket.take(at(3_000), Credit(1)));
-    assert!(bucket.take(at(3_100), Credit(1)));
+    assert!(!bucket.try_take(at(0), Credit(5_000)));
+    assert!(bucket.try_take(at(1), Credit(5_000)));
+    assert!(!bucket.try_take(at(3_000), Credit(1)));
+    assert!(bucket.try_take(at(3_100), Credit(1)));
 }
 
 #[test]
-fn a_bucket_without_a_rate_never_promises() {
+fn wait_is_unknown_without_a_rate() {
     let mut bucket = Bucket::new(at(0), CreditPerSecond(0), Credit(10), Credit(0));
     assert_eq!(bucket.wait_ms(at(5), Credit(1)), None);
 }
 
 #[test]
-fn a_lower_burst_takes_away_what_was_saved() {
+fn lowering_the_burst_cuts_the_level() {
     let mut bucket = Bucket::new(at(0), CreditPerSecond(1_000), Credit(2_000), Credit(2_000));
     bucket.configure(at(0), CreditPerSecond(100), Credit(300));
     assert_eq!(bucket.level(at(0)), Credit(300));
 }
 
 #[test]
-fn leased_credit_is_spent_once_and_runs_out() {
+fn leased_credit_is_spent_once_and_expires() {
     let mut leased = LeasedCredit::default();
     leased.add(at(0), Credit(300));
     leased.add(at(200), Credit(300));
@@ -51,11 +51,12 @@
     assert!(!leased.spend(at(600), Credit(1)));
 }
 
-/// A surge far beyond the quota: its requests are refused without a question for each, cheaper ones still ask.
+/// A surge exceeds the quota. Its requests are refused without asking the primary for each one, while cheaper
+/// requests still ask.
 #[test]
-fn a_denial_is_remembered_for_what_costs_as_much() {
+fn denial_applies_to_equal_and_higher_costs() {
     let mut leased = LeasedCredit::default();
-    leased.deny(at(0), Credit(100), Millis(50));
+    leased.record_denial(at(0), Credit(100), Millis(50));
     assert_eq!(leased.denied_ms(at(10), Credit(100)), Some(Millis(40)));
     assert_eq!(leased.denied_ms(at(10), Credit(99)), None);
     assert_eq!(leased.denied_ms(at(50), Credit(100)), None);
--- a/crates/core/tests/quota/main.rs
+++ b/crates/core/tests/quota/main.rs
@@ -1,7 +1,7 @@
-//! Quotas of organisations over many daemons.
+//! Quotas of organisations and limits of servers, enforced by many daemons.
 #![allow(clippy::pedantic, reason = "fakes and expectations in short form")]
 
 mod bucket;
-mod keeping;
+mod enforcement;
 mod server_limits;
-mod world;
+mod simulation;
--- a/crates/core/tests/quota/server_limits.rs
+++ b/crates/core/tests/quota/server_limits.rs
@@ -1,11 +1,11 @@
-//! Which statement of a server counts.
+//! Precedence of the limits that servers state, and their enforcement.
 
 use hibiscusvale_core::ids::BackendServerId;
 use hibiscusvale_core::quota::{LimitStatement, ServerLimits};
 use hibiscusvale_core::units::{Credit, CreditPerSecond, Millis, MonoTime};
 use rstest::rstest;
 
-use crate::world::{Trouble, World};
+use crate::simulation::{Faults, Simulation};
 
 fn server() -> BackendServerId {
     "i-1".parse().unwrap()
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn the_newest_answer_counts() {
+fn latest_response_wins() {
     let mut limits = ServerLimits::default();
     assert!(!limits.answered(at(0), &server(), None));
     assert!(limits.answered(at(10), &server(), limit(5)));
@@ -35,9 +35,9 @@
     assert_eq!((limits.rate(&server()), limits.limited()), (None, 0));
 }
 
-/// A limit was withdrawn; another daemon's word from before must not bring it back.
+/// A withdrawn limit must not be restored by an older statement of another daemon.
 #[test]
-fn an_older_word_changes_nothing() {
+fn older_statement_is_ignored() {
     let mut limits = ServerLimits::default();
     limits.answered(at(1_000), &server(), limit(5));
     limits.answered(at(1_500), &server(), None);
@@ -47,9 +47,9 @@
     assert_eq!(limits.rate(&server()), limit(4));
 }
 
-/// What is older than the process is older than whatever it heard itself.
+/// A statement from before the process started is older than anything the process received itself.
 #[test]
-fn a_word_from_before_the_start_is_the_oldest() {
+fn statement_from_before_the_start_is_oldest() {
     let mut limits = ServerLimits::default();
     assert!(limits.merge(at(100), &statement(4, 9_000)));
     limits.answered(at(200), &server(), limit(6));
@@ -58,71 +58,78 @@
 }
 
 #[test]
-fn a_change_goes_out_in_three_messages() {
+fn change_is_sent_in_three_messages() {
     let mut limits = ServerLimits::default();
     limits.answered(at(0), &server(), limit(5));
-    let told: Vec<usize> = (0..5).map(|ms| limits.gossip(at(ms)).len()).collect();
-    assert_eq!(told, [1, 1, 1, 0, 0]);
+    let batches: Vec<usize> = (0..5).map(|ms| limits.gossip(at(ms)).len()).collect();
+    assert_eq!(batches, [1, 1, 1, 0, 0]);
     limits.answered(at(10), &server(), limit(5));
     assert!(limits.gossip(at(11)).is_empty());
     limits.retain(|_| false);
     assert_eq!(limits.rate(&server()), None);
 }
 
-/// Changes go to hundreds of daemons.
+/// Changes are sent to hundreds of daemons.
 #[test]
-fn a_statement_is_small() {
+fn encoded_statement_is_small() {
     let statement =
         LimitStatement { server: "i-0123456789".parse().unwrap(), rate: limit(50), age_ms: Millis(900_000) };
     assert!(postcard::to_stdvec(&statement).unwrap().len() < 32);
 }
 
-const SURGE: f64 = 4.0;
+const SURGE_LOAD: f64 = 4.0;
 
-/// From when on a limit has to be kept, after it was stated first.
-const CONTACT_MS: u64 = 3_000;
+/// Time after the first statement from which a limit must be enforced.
+const PROPAGATION_BOUND_MS: u64 = 3_000;
 
-/// One and a half times the limit in four seconds, and five requests.
+/// Credit allowed per window: 1.5 times the limit over 4 s, plus five requests.
 fn allowed(rate: u64) -> Credit {
     Credit(rate * 4 * 3 / 2 + 5_000)
 }
 
-fn surge(daemons: usize, rate: u64, trouble: Trouble, seed: u64) -> World {
-    let mut world = World::before_server(daemons, CreditPerSecond(rate), trouble, seed);
-    world.play(20_000, |_| SURGE);
-    world
+fn surge(daemons: usize, rate: u64, faults: Faults, seed: u64) -> Simulation {
+    let mut simulation = Simulation::for_server(daemons, CreditPerSecond(rate), faults, seed);
+    simulation.run(20_000, |_| SURGE_LOAD);
+    simulation
 }
 
-/// All daemons send to one server that states a limit, four times as much as it takes.
+/// All daemons together send four times as many requests to one server as its limit allows.
 #[rstest]
-#[case::calm(Trouble::default())]
-#[case::lossy(Trouble { lost: 10, ..Trouble::default() })]
-#[case::very_lossy(Trouble { lost: 33, ..Trouble::default() })]
-#[case::some_restart(Trouble { restart: Some((9_000, 30)), ..Trouble::default() })]
-#[case::all_restart(Trouble { restart: Some((9_000, 100)), ..Trouble::default() })]
-#[case::cut(Trouble { cut_ms: Some((7_000, 13_000)), ..Trouble::default() })]
-#[case::frozen(Trouble { freeze_ms: Some((7_000, 12_000)), ..Trouble::default() })]
-#[case::restart_in_a_cut(Trouble { cut_ms: Some((7_000, 13_000)), restart: Some((8_500, 100)), ..Trouble::default() })]
-fn a_limit_is_kept(
-    #[case] trouble: Trouble,
+#[case::no_faults(Faults::default())]
+#[case::lossy(Faults { lost: 10, ..Faults::default() })]
+#[case::very_lossy(Faults { lost: 33, ..Faults::default() })]
+#[case::some_restart(Faults { restart: Some((9_000, 30)), ..Faults::default() })]
+#[case::all_restart(Faults { restart: Some((9_000, 100)), ..Faults::default() })]
+#[case::partition(Faults { partition_ms: Some((7_000, 13_000)), ..Faults::default() })]
+#[case::frozen_primary(Faults { freeze_ms: Some((7_000, 12_000)), ..Faults::default() })]
+#[case::restart_during_partition(Faults { partition_ms: Some((7_000, 13_000)), restart: Some((8_500, 100)), ..Faults::default() })]
+fn server_limit_is_enforced(
+    #[case] faults: Faults,
     #[values(4, 9, 58, 195)] daemons: usize,
     #[values(500, 5_000, 50_000)] rate: u64,
 ) {
     for seed in 0..3 {
-        let worst = surge(daemons, rate, trouble, seed).most_in_window(CONTACT_MS);
-        assert!(worst <= allowed(rate), "{worst} of {}, seed {seed}", allowed(rate));
+        let peak = surge(daemons, rate, faults, seed).peak_window(PROPAGATION_BOUND_MS);
+        assert!(peak <= allowed(rate), "{peak} of {}, seed {seed}", allowed(rate));
     }
 }
 
 #[test]
-fn a_limit_is_kept_by_hundreds_of_daemons() {
-    let world = surge(413, 5_000, Trouble { lost: 10, ..Trouble::default() }, 1);
-    assert!(world.most_in_window(CONTACT_MS) <= allowed(5_000), "{}", world.most_in_window(CONTACT_MS));
+fn server_limit_is_enforced_by_413_daemons() {
+    let simulation = surge(413, 5_000, Faults { lost: 10, ..Faults::default() }, 1);
+    assert!(
+        simulation.peak_window(PROPAGATION_BOUND_MS) <= allowed(5_000),
+        "{}",
+        simulation.peak_window(PROPAGATION_BOUND_MS)
+    );
 }
 
-/// Callers are refused while the limit stands unused.
+/// Callers must not be refused while a limit is mostly unused.
 #[rstest]
-fn a_limit_is_used(#[values(4, 9, 58, 195, 413)] daemons: usize, #[values(500, 5_000, 50_000)] rate: u64) {
-    let used = surge(daemons, rate, Trouble::default(), 2).used_part();
-    assert!(used >= 0.85, "{used:.3} used");
+fn server_limit_is_mostly_used(
+    #[values(4, 9, 58, 195, 413)] daemons: usize,
+    #[values(500, 5_000, 50_000)] rate: u64,
+) {
+    let used = surge(daemons, rate, Faults::default(), 2).utilization();
+    assert!(used >= 0.85, "used fraction {used:.3}");
 }
--- a/crates/core/tests/quota/world.rs
+++ b/crates/core/tests/quota/simulation.rs
@@ -1,9 +1,10 @@
-//! Daemons that spend one organisation's quota, with what the network and the hosts do to them.
+//! Simulation of daemons that spend one organisation's quota or one server's limit, under network and host
+//! faults.
 
 use hibiscusvale_core::ids::{HostId, PartnerId};
 use hibiscusvale_core::quota::{
     Bucket, Coverage, Grant, LeasedCredit, Ledger, LedgerRole, LedgerSettings, Quota, QuotaBounds, QuotaUnit,
-    Suspicion, candidates, outranks, server_limit,
+    Suspicion, candidates, outranks, server_limit_settings,
 };
 use hibiscusvale_core::units::{Credit, CreditPerSecond, Millis, MonoTime, Tokens};
 use rand::rngs::StdRng;
@@ -13,47 +14,47 @@
 const RATE: u64 = 60_000;
 const BURST: u64 = 60_000;
 const SLACK: f64 = 120_000.0;
-const WORD_MS: u64 = 500;
-const SILENCE_MS: u64 = 2_500;
-/// A daemon is asked at most so often for one request.
-const QUESTIONS: usize = 4;
+const HEARTBEAT_INTERVAL_MS: u64 = 500;
+const LIVENESS_TIMEOUT_MS: u64 = 2_500;
+/// Maximum number of requests for credit per caller request.
+const ATTEMPTS_MAX: usize = 4;
 
-/// How the quota is kept.
+/// Method of enforcing the quota.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Way {
-    /// One daemon keeps it, the others lease from it.
+pub enum Enforcement {
+    /// One daemon holds the ledger, and the others lease credit from it.
     Ledger,
-    /// Each daemon has the same part.
-    EvenParts,
+    /// Each daemon has an equal share of the quota.
+    EqualShares,
 }
 
-/// What happens to daemons and messages.
+/// Faults of daemons and messages.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Trouble {
-    /// Messages that are lost, in a hundred.
+pub struct Faults {
+    /// Percentage of messages that are lost.
     pub lost: u32,
-    /// When so many of the daemons, in a hundred, start again.
+    /// Time at which daemons restart, and their percentage.
     pub restart: Option<(u64, u32)>,
-    /// From when until when a quarter of the daemons is cut off from the others.
-    pub cut_ms: Option<(u64, u64)>,
-    /// From when until when the daemon in charge stands still.
+    /// Start and end of a partition that isolates a quarter of the daemons.
+    pub partition_ms: Option<(u64, u64)>,
+    /// Start and end of a freeze of the primary.
     pub freeze_ms: Option<(u64, u64)>,
-    /// When the quota becomes so many times smaller.
-    pub lower: Option<(u64, u64)>,
+    /// Time at which the quota is reduced, and the divisor.
+    pub reduce_quota: Option<(u64, u64)>,
 }
 
-/// What is asked for.
+/// Kind of load.
 #[derive(Clone, Copy, Debug)]
 enum Demand {
-    /// An organisation's requests through a few daemons, one in ten of them for a model.
+    /// Requests of an organisation through a few daemons, one in ten of them for a model.
     Organisation,
     /// Requests to one server through all daemons.
     Server,
 }
 
 impl Demand {
-    /// Tokens or requests of one request.
-    fn draw(self, rng: &mut StdRng) -> u64 {
+    /// Number of tokens or requests that one request costs.
+    fn sample_units(self, rng: &mut StdRng) -> u64 {
         match self {
             Self::Organisation if rng.random_bool(0.1) => 3_300,
             Self::Organisation => 200,
@@ -73,29 +74,29 @@
     host: HostId,
     leased: LeasedCredit,
     ledger: Ledger,
-    part: Bucket,
-    heard_ms: Vec<Option<u64>>,
-    silent: Vec<Suspicion>,
+    share: Bucket,
+    last_heard_ms: Vec<Option<u64>>,
+    suspicions: Vec<Suspicion>,
 }
 
-pub struct World {
-    way: Way,
+pub struct Simulation {
+    enforcement: Enforcement,
     demand: Demand,
-    played_ms: u64,
-    trouble: Trouble,
+    duration_ms: u64,
+    faults: Faults,
     partner: PartnerId,
-    /// Daemons in the order in which they are asked.
+    /// Daemons in the order in which they are asked for credit.
     ranked: Vec<usize>,
     daemons: Vec<Daemon>,
     settings: LedgerSettings,
     rng: StdRng,
-    ideal: Bucket,
-    /// When how much was spent.
+    reference: Bucket,
+    /// Time and amount of each expenditure.
     pub spent: Vec<(u64, Credit)>,
-    /// What was asked for within the quota.
-    pub within: Credit,
-    /// What was refused of it.
-    pub refused_within: Credit,
+    /// Credit requested within the quota.
+    pub within_quota: Credit,
+    /// Credit refused within the quota.
+    pub refused_within_quota: Credit,
 }
 
 fn settings(divisor: u64) -> LedgerSettings {
@@ -110,26 +111,33 @@
     MonoTime::default() + Millis(at_ms)
 }
 
-impl World {
-    pub fn new(way: Way, daemons: usize, trouble: Trouble, seed: u64) -> Self {
-        Self::with_settings(way, Demand::Organisation, settings(1), daemons, trouble, seed)
+impl Simulation {
+    pub fn new(enforcement: Enforcement, daemons: usize, faults: Faults, seed: u64) -> Self {
+        Self::with_settings(enforcement, Demand::Organisation, settings(1), daemons, faults, seed)
     }
 
-    /// Daemons before a server that states a limit, in thousandths of a request.
-    pub fn before_server(daemons: usize, rate: CreditPerSecond, trouble: Trouble, seed: u64) -> Self {
-        Self::with_settings(Way::Ledger, Demand::Server, server_limit(rate), daemons, trouble, seed)
+    /// Daemons in front of a server that states a limit, in thousandths of a request per second.
+    pub fn for_server(daemons: usize, rate: CreditPerSecond, faults: Faults, seed: u64) -> Self {
+        Self::with_settings(
+            Enforcement::Ledger,
+            Demand::Server,
+            server_limit_settings(rate),
+            daemons,
+            faults,
+            seed,
+        )
     }
 
     fn with_settings(
-        way: Way,
+        enforcement: Enforcement,
         demand: Demand,
         settings: LedgerSettings,
         daemons: usize,
-        trouble: Trouble,
+        faults: Faults,
         seed: u64,
     ) -> Self {
         let quota = settings.quota;
-        let part = Bucket::new(
+        let share = Bucket::new(
             clock(0),
             CreditPerSecond(quota.rate.0 / daemons as u64),
             Credit(quota.burst.0 / daemons as u64),
@@ -139,44 +147,44 @@
             host: format!("h-{number}").parse().unwrap(),
             leased: LeasedCredit::default(),
             ledger: Ledger::new(settings),
-            part,
-            heard_ms: vec![Some(0); daemons],
-            silent: vec![Suspicion::default(); daemons],
+            share,
+            last_heard_ms: vec![Some(0); daemons],
+            suspicions: vec![Suspicion::default(); daemons],
         };
         let partner: PartnerId = "org".parse().unwrap();
         let hosts = (0..daemons).map(|number| format!("h-{number}").parse().unwrap()).collect();
         let number = |host: &HostId| host.as_str()[2..].parse().unwrap();
         Self {
-            way,
+            enforcement,
             demand,
-            played_ms: 0,
-            trouble,
+            duration_ms: 0,
+            faults,
             ranked: candidates(partner.as_str(), hosts).iter().map(number).collect(),
             partner,
             daemons: (0..daemons).map(daemon).collect(),
             settings,
             rng: StdRng::seed_from_u64(seed),
-            ideal: Bucket::new(clock(0), quota.rate, quota.burst, quota.burst),
+            reference: Bucket::new(clock(0), quota.rate, quota.burst, quota.burst),
             spent: Vec::new(),
-            within: Credit::ZERO,
-            refused_within: Credit::ZERO,
+            within_quota: Credit::ZERO,
+            refused_within_quota: Credit::ZERO,
         }
     }
 
-    /// Plays `end_ms`, with requests that come to `load` times the quota, through the daemons that some callers reach.
-    pub fn play(&mut self, end_ms: u64, load: impl Fn(u64) -> f64) {
+    /// Runs for `end_ms` with a load of `load` times the quota. An organisation's callers reach five daemons.
+    pub fn run(&mut self, end_ms: u64, load: impl Fn(u64) -> f64) {
         let callers: Vec<usize> = match self.demand {
             Demand::Organisation => (0..5).map(|_| self.rng.random_range(0..self.daemons.len())).collect(),
             Demand::Server => (0..self.daemons.len()).collect(),
         };
-        self.played_ms = end_ms;
+        self.duration_ms = end_ms;
         for at_ms in 0..end_ms {
-            self.pass(at_ms);
+            self.tick(at_ms);
             let rate_per_ms = self.settings.quota.rate.0 as f64 / 1_000_000.0;
             let mut expected = load(at_ms) * rate_per_ms / self.demand.mean();
             while expected > 0.0 {
                 if self.rng.random_bool(expected.min(1.0)) {
-                    let amount = self.demand.draw(&mut self.rng);
+                    let amount = self.demand.sample_units(&mut self.rng);
                     let at = callers[self.rng.random_range(0..callers.len())];
                     self.request(at_ms, at, Credit(amount * 1_000));
                 }
@@ -185,27 +193,27 @@
         }
     }
 
-    fn pass(&mut self, at_ms: u64) {
-        let Trouble { restart, lower, .. } = self.trouble;
+    fn tick(&mut self, at_ms: u64) {
+        let Faults { restart, reduce_quota, .. } = self.faults;
         if let Some((_, percent)) = restart.filter(|(when_ms, _)| *when_ms == at_ms) {
             let count = self.daemons.len() * percent as usize / 100;
             for number in 0..count {
                 self.restart(at_ms, number);
             }
         }
-        if let Some((_, divisor)) = lower.filter(|(when_ms, _)| *when_ms == at_ms) {
+        if let Some((_, divisor)) = reduce_quota.filter(|(when_ms, _)| *when_ms == at_ms) {
             self.settings = settings(divisor);
             let quota = self.settings.quota;
-            self.ideal.configure(clock(at_ms), quota.rate, quota.burst);
+            self.reference.configure(clock(at_ms), quota.rate, quota.burst);
             for daemon in &mut self.daemons {
                 daemon.ledger.configure(self.settings);
             }
         }
-        if at_ms.is_multiple_of(WORD_MS) {
+        if at_ms.is_multiple_of(HEARTBEAT_INTERVAL_MS) {
             for from in 0..self.daemons.len() {
                 for to in 0..self.daemons.len() {
-                    if from != to && self.reaches(at_ms, from, to) {
-                        self.hear(at_ms, to, from);
+                    if from != to && self.delivers(at_ms, from, to) {
+                        self.receive_heartbeat(at_ms, to, from);
                     }
                 }
             }
@@ -216,84 +224,90 @@
         let daemon = &mut self.daemons[number];
         daemon.leased = LeasedCredit::default();
         daemon.ledger = Ledger::new(self.settings);
-        daemon.heard_ms = vec![None; daemon.heard_ms.len()];
-        daemon.silent = vec![Suspicion::default(); daemon.silent.len()];
+        daemon.last_heard_ms = vec![None; daemon.last_heard_ms.len()];
+        daemon.suspicions = vec![Suspicion::default(); daemon.suspicions.len()];
         let quota = self.settings.quota;
         let daemons = self.daemons.len() as u64;
         let (rate, burst) = (CreditPerSecond(quota.rate.0 / daemons), Credit(quota.burst.0 / daemons));
-        self.daemons[number].part = Bucket::new(clock(at_ms), rate, burst, Credit(0));
+        self.daemons[number].share = Bucket::new(clock(at_ms), rate, burst, Credit(0));
     }
 
-    fn hear(&mut self, at_ms: u64, to: usize, from: usize) {
+    fn receive_heartbeat(&mut self, at_ms: u64, to: usize, from: usize) {
         let (partner, host) = (self.partner.clone(), self.daemons[from].host.clone());
         let daemon = &mut self.daemons[to];
-        let is_new = daemon.heard_ms[from].is_none_or(|heard_ms| at_ms >= heard_ms + SILENCE_MS);
-        daemon.heard_ms[from] = Some(at_ms);
-        if is_new && outranks(partner.as_str(), &host, &daemon.host) {
+        let is_rejoined = daemon.last_heard_ms[from]
+            .is_none_or(|last_heard_ms| at_ms >= last_heard_ms + LIVENESS_TIMEOUT_MS);
+        daemon.last_heard_ms[from] = Some(at_ms);
+        if is_rejoined && outranks(partner.as_str(), &host, &daemon.host) {
             daemon.ledger.step_down();
         }
     }
 
-    fn reaches(&mut self, at_ms: u64, from: usize, to: usize) -> bool {
-        let is_during = |span: Option<(u64, u64)>| span.is_some_and(|(a, b)| (a..b).contains(&at_ms));
-        let is_far = |number: usize| number.is_multiple_of(4);
-        if is_during(self.trouble.cut_ms) && is_far(from) != is_far(to) {
+    fn delivers(&mut self, at_ms: u64, from: usize, to: usize) -> bool {
+        let is_active = |span: Option<(u64, u64)>| span.is_some_and(|(a, b)| (a..b).contains(&at_ms));
+        let is_isolated = |number: usize| number.is_multiple_of(4);
+        if is_active(self.faults.partition_ms) && is_isolated(from) != is_isolated(to) {
             return false;
         }
         let first = self.ranked[0];
-        if is_during(self.trouble.freeze_ms) && (first == to || first == from) {
+        if is_active(self.faults.freeze_ms) && (first == to || first == from) {
             return false;
         }
-        !self.rng.random_ratio(self.trouble.lost, 100)
+        !self.rng.random_ratio(self.faults.lost, 100)
     }
 
-    /// The daemons that `at` knows to live, in the order in which they are asked.
+    /// Daemons that `at` considers live, in the order in which they are asked for credit.
     fn live(&self, at_ms: u64, at: usize) -> impl Iterator<Item = usize> + '_ {
-        let heard = &self.daemons[at].heard_ms;
+        let heard = &self.daemons[at].last_heard_ms;
         let is_live = move |number: &usize| {
-            *number == at || heard[*number].is_some_and(|heard_ms| at_ms < heard_ms + SILENCE_MS)
+            *number == at
+                || heard[*number].is_some_and(|last_heard_ms| at_ms < last_heard_ms + LIVENESS_TIMEOUT_MS)
         };
         self.ranked.iter().copied().filter(is_live)
     }
 
     fn request(&mut self, at_ms: u64, at: usize, cost: Credit) {
-        let is_within = self.ideal.take(clock(at_ms), cost);
-        let is_served = match self.way {
-            Way::Ledger => self.lease(at_ms, at, cost),
-            Way::EvenParts => self.daemons[at].part.take(clock(at_ms), cost),
+        let is_within_quota = self.reference.try_take(clock(at_ms), cost);
+        let is_served = match self.enforcement {
+            Enforcement::Ledger => self.acquire(at_ms, at, cost),
+            Enforcement::EqualShares => self.daemons[at].share.try_take(clock(at_ms), cost),
         };
-        if is_within {
-            self.within += cost;
+        if is_within_quota {
+            self.within_quota += cost;
         }
         if is_served {
             self.spent.push((at_ms, cost));
-        } else if is_within {
-            self.refused_within += cost;
+        } else if is_within_quota {
+            self.refused_within_quota += cost;
         }
     }
 
-    fn lease(&mut self, at_ms: u64, at: usize, cost: Credit) -> bool {
-        for _ in 0..QUESTIONS {
+    fn acquire(&mut self, at_ms: u64, at: usize, cost: Credit) -> bool {
+        for _ in 0..ATTEMPTS_MAX {
             if self.daemons[at].leased.spend(clock(at_ms), cost) {
                 return true;
             }
             if self.daemons[at].leased.denied_ms(clock(at_ms), cost).is_some() {
                 return false;
             }
-            let is_silent = |number: usize| self.daemons[at].silent[number].is_suspected(clock(at_ms));
-            let asked = self.live(at_ms, at).find(|number| !is_silent(*number));
-            let Some(asked) = asked else {
+            let is_suspected = |number: usize| self.daemons[at].suspicions[number].is_suspected(clock(at_ms));
+            let target = self.live(at_ms, at).find(|number| !is_suspected(*number));
+            let Some(target) = target else {
                 return false;
             };
-            if asked != at && !(self.reaches(at_ms, at, asked) && self.reaches(at_ms, asked, at)) {
-                self.daemons[at].silent[asked].note_timeout(clock(at_ms));
+            if target != at && !(self.delivers(at_ms, at, target) && self.delivers(at_ms, target, at)) {
+                self.daemons[at].suspicions[target].record_timeout(clock(at_ms));
                 continue;
             }
-            self.daemons[at].silent[asked] = Suspicion::default();
-            match self.grant(at_ms, asked, at, cost) {
+            self.daemons[at].suspicions[target] = Suspicion::default();
+            match self.grant(at_ms, target, at, cost) {
                 Grant::Granted(credit) => self.daemons[at].leased.add(clock(at_ms), credit),
                 Grant::Denied { retry_after_ms } => {
-                    self.daemons[at].leased.deny(clock(at_ms), cost, retry_after_ms.min(Millis(100)));
+                    self.daemons[at].leased.record_denial(
+                        clock(at_ms),
+                        cost,
+                        retry_after_ms.min(Millis(100)),
+                    );
                     return false;
                 }
             }
@@ -301,8 +315,8 @@
         self.daemons[at].leased.spend(clock(at_ms), cost)
     }
 
-    fn grant(&mut self, at_ms: u64, at: usize, asker: usize, cost: Credit) -> Grant {
-        let likely = self.daemons[asker].leased.likely(clock(at_ms));
+    fn grant(&mut self, at_ms: u64, at: usize, requester: usize, cost: Credit) -> Grant {
+        let likely = self.daemons[requester].leased.expected_spend(clock(at_ms));
         let is_primary = self.live(at_ms, at).next() == Some(at);
         let role = if is_primary { LedgerRole::Primary } else { LedgerRole::Standby };
         let live = self.live(at_ms, at).count() as u64;
@@ -310,39 +324,39 @@
         self.daemons[at].ledger.grant(clock(at_ms), role, coverage, cost, likely)
     }
 
-    /// The most that was spent in a window, as a part of what is tolerated there.
-    pub fn worst_window(&self, settled_ms: u64) -> f64 {
+    /// Largest amount spent in one window, as a fraction of the amount tolerated.
+    pub fn peak_window_ratio(&self, from_ms: u64) -> f64 {
         let LedgerSettings { quota, bounds } = self.settings;
         let window_ms = bounds.window_ms.0;
         let allowed = quota.rate.0 * window_ms / 1_000 + quota.burst.0 + bounds.tolerance(&quota).0;
-        self.most_in_window(settled_ms).0 as f64 / allowed as f64
+        self.peak_window(from_ms).0 as f64 / allowed as f64
     }
 
-    /// The most that was spent in a window.
-    pub fn most_in_window(&self, settled_ms: u64) -> Credit {
+    /// Largest amount spent in one window.
+    pub fn peak_window(&self, from_ms: u64) -> Credit {
         let window_ms = self.settings.bounds.window_ms.0;
-        let (mut worst, mut sum, mut first) = (0, 0, 0);
+        let (mut peak, mut sum, mut first) = (0, 0, 0);
         let spent: Vec<(u64, Credit)> =
-            self.spent.iter().filter(|(at_ms, _)| *at_ms >= settled_ms).copied().collect();
+            self.spent.iter().filter(|(at_ms, _)| *at_ms >= from_ms).copied().collect();
         for &(at_ms, credit) in &spent {
             sum += credit.0;
             while spent[first].0 + window_ms <= at_ms {
                 sum -= spent[first].1.0;
                 first += 1;
             }
-            worst = worst.max(sum);
+            peak = peak.max(sum);
         }
-        Credit(worst)
+        Credit(peak)
     }
 
-    /// What was spent, as a part of what could have been.
-    pub fn used_part(&self) -> f64 {
+    /// Fraction of the available credit that was spent.
+    pub fn utilization(&self) -> f64 {
         let spent: u64 = self.spent.iter().map(|(_, credit)| credit.0).sum();
-        spent as f64 * 1_000.0 / (self.settings.quota.rate.0 * self.played_ms) as f64
+        spent as f64 * 1_000.0 / (self.settings.quota.rate.0 * self.duration_ms) as f64
     }
 
-    /// What was refused within the quota, as a part of what was asked for within it.
-    pub fn refused_part(&self) -> f64 {
-        self.refused_within.0 as f64 / self.within.0.max(1) as f64
+    /// Fraction of the credit requested within the quota that was refused.
+    pub fn refused_fraction(&self) -> f64 {
+        self.refused_within_quota.0 as f64 / self.within_quota.0.max(1) as f64
     }
 }
--- a/crates/core/tests/relay/engines.rs
+++ b/crates/core/tests/relay/engines.rs
@@ -1,6 +1,6 @@
 //! Single decisions of the engine pool.
 
-use hibiscusvale_core::allowance::{AllowanceSettings, TRY};
+use hibiscusvale_core::allowance::{AllowanceSettings, RETRY_COST};
 use hibiscusvale_core::ids::RequestId;
 use hibiscusvale_core::outcome::Repeatability;
 use hibiscusvale_core::relay::engines::{
@@ -325,7 +325,7 @@
 /// and no request is refused.
 #[test]
 fn refused_prefills_are_charged_to_the_budget() {
-    let retries = AllowanceSettings { part: TRY, ..AllowanceSettings::default() };
+    let retries = AllowanceSettings { slack_share: RETRY_COST, ..AllowanceSettings::default() };
     let mut harness = Harness::new(EnginePoolSettings { retries, ..settings() }, &ENGINES);
     let mut refusals = 0;
     for sequence in 0..100 {
--- a/crates/core/tests/sched/plain.rs
+++ b/crates/core/tests/sched/plain.rs
@@ -220,7 +220,7 @@
 // also holds when no retry credit is left.
 #[rstest]
 #[case::own_budget(None)]
-#[case::shared_allowance_exhausted(Some(AllowanceSettings { earned: Credit(0), part: Credit(0), ..Default::default() }))]
+#[case::shared_allowance_exhausted(Some(AllowanceSettings { credit_per_request: Credit(0), slack_share: Credit(0), ..Default::default() }))]
 fn partitioned_daemon_uses_the_reachable_instance(#[case] shared_retries: Option<AllowanceSettings>) {
     let kinds = [Kind::Unreachable, Kind::Unreachable, Kind::Good, Kind::Unreachable];
     let mut service =
--- a/crates/router/src/dispatch/ask.rs
+++ b/crates/router/src/dispatch/ask.rs
@@ -1,6 +1,6 @@
 //! Questions of the schedulers to other daemons.
 
-use hibiscusvale_core::allowance::Ask;
+use hibiscusvale_core::allowance::LoanRequest;
 use hibiscusvale_core::units::Credit;
 use tokio::sync::mpsc;
 
@@ -10,7 +10,7 @@
     /// The service.
     pub service: String,
     /// The question.
-    pub ask: Ask,
+    pub ask: LoanRequest,
 }
 
 /// Where questions go; nowhere for schedulers that share no allowance.
@@ -24,7 +24,7 @@
         (Self(Some(sender)), receiver)
     }
 
-    pub(crate) fn send(&self, service: &str, ask: Ask) {
+    pub(crate) fn send(&self, service: &str, ask: LoanRequest) {
         if let Some(sender) = &self.0 {
             // Without the talk between daemons there is nobody to ask; the request ends without a loan.
             let _ = sender.send(ServiceAsk { service: service.to_owned(), ask });
--- a/crates/router/src/dispatch/plain_hub.rs
+++ b/crates/router/src/dispatch/plain_hub.rs
@@ -137,7 +137,7 @@
         let now_us = clock::now();
         let mut services = self.services.lock();
         let spares = services.iter_mut().filter_map(|(name, service)| {
-            let spare = service.scheduler.allowance()?.spare(now_us);
+            let spare = service.scheduler.allowance()?.lendable(now_us);
             (spare > Credit::ZERO).then(|| (name.clone(), spare))
         });
         spares.collect()
@@ -147,7 +147,7 @@
     pub fn told_spares(&self, host: &HostId, spares: &[(String, Credit)]) {
         for (name, service) in self.services.lock().iter_mut() {
             if let Some(allowance) = service.scheduler.allowance() {
-                allowance.told(host, spare_of(spares, name));
+                allowance.update_lender(host, spare_of(spares, name));
             }
         }
     }
@@ -157,7 +157,7 @@
         let now_us = clock::now();
         let mut services = self.services.lock();
         let allowance = services.get_mut(name)?.scheduler.allowance()?;
-        Some((allowance.lend(now_us, wants), allowance.spare(now_us)))
+        Some((allowance.lend(now_us, wants), allowance.lendable(now_us)))
     }
 
     /// Another daemon answered a question for a loan.
--- a/crates/router/src/relay/budget.rs
+++ b/crates/router/src/relay/budget.rs
@@ -4,7 +4,7 @@
 //! daemons that ever registered, not only those currently reachable: a partitioned daemon keeps spending its
 //! share.
 
-use hibiscusvale_core::allowance::{AllowanceSettings, TRY};
+use hibiscusvale_core::allowance::{AllowanceSettings, RETRY_COST};
 use hibiscusvale_core::relay::engines::EnginePoolSettings;
 use hibiscusvale_core::relay::recipients::BroadcastScope;
 use hibiscusvale_core::sched::{InstanceSettings, PlainSettings};
@@ -70,13 +70,13 @@
 /// or one.
 fn allowance(bounds: &BoundSettings, daemons: u64) -> AllowanceSettings {
     AllowanceSettings {
-        earned: credit(bounds.retry_ratio),
-        part: credit(bounds.retry_slack * DISTRIBUTED_FRACTION / daemons.max(1) as f64),
+        credit_per_request: credit(bounds.retry_ratio),
+        slack_share: credit(bounds.retry_slack * DISTRIBUTED_FRACTION / daemons.max(1) as f64),
         window_ms: Millis(u64::try_from(bounds.retry_window().as_millis()).unwrap_or(u64::MAX)),
     }
 }
 
 #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "checked to be in range")]
 fn credit(retries: f64) -> Credit {
-    Credit((retries * TRY.0 as f64) as u64)
+    Credit((retries * RETRY_COST.0 as f64) as u64)
 }
--- a/crates/router/src/relay/engine_hub.rs
+++ b/crates/router/src/relay/engine_hub.rs
@@ -240,15 +240,16 @@
     pub fn spares(&self) -> Vec<(String, Credit)> {
         let now_us = clock::now();
         let mut services = self.services.lock();
-        let spares =
-            services.iter_mut().map(|(name, service)| (name.clone(), service.pool.allowance().spare(now_us)));
+        let spares = services
+            .iter_mut()
+            .map(|(name, service)| (name.clone(), service.pool.allowance().lendable(now_us)));
         spares.filter(|(_, spare)| *spare > Credit::ZERO).collect()
     }
 
     /// Updates the spare credit of another daemon.
     pub fn receive_spares(&self, host: &HostId, spares: &[(String, Credit)]) {
         for (name, service) in self.services.lock().iter_mut() {
-            service.pool.allowance().told(host, spare_of(spares, name));
+            service.pool.allowance().update_lender(host, spare_of(spares, name));
         }
     }
 
@@ -258,7 +259,7 @@
         let now_us = clock::now();
         let mut services = self.services.lock();
         let allowance = services.get_mut(name)?.pool.allowance();
-        Some((allowance.lend(now_us, requested), allowance.spare(now_us)))
+        Some((allowance.lend(now_us, requested), allowance.lendable(now_us)))
     }
 
     /// Records another daemon's reply to a loan request.
--- a/crates/router/src/relay/limits.rs
+++ b/crates/router/src/relay/limits.rs
@@ -1,7 +1,7 @@
 //! Rate limits that backend servers state in their answers.
 
 use hibiscusvale_core::ids::BackendServerId;
-use hibiscusvale_core::quota::{LimitStatement, ServerLimits, UNIT};
+use hibiscusvale_core::quota::{CREDIT_PER_UNIT, LimitStatement, ServerLimits};
 use hibiscusvale_core::sched::LimitReached;
 use hibiscusvale_core::units::{Credit, CreditPerSecond};
 use parking_lot::Mutex;
@@ -42,7 +42,7 @@
             return Ok(());
         };
         let owner = QuotaOwner::Server(server.clone());
-        let charged = state.quotas.charge(state, &owner, Credit(UNIT.0 * requests)).await;
+        let charged = state.quotas.charge(state, &owner, Credit(CREDIT_PER_UNIT.0 * requests)).await;
         charged.map_err(|refusal| LimitReached { rate, wait_ms: refusal.retry_after_ms.unwrap_or_default() })
     }
 
--- a/crates/router/src/relay/quarantine.rs
+++ b/crates/router/src/relay/quarantine.rs
@@ -2,7 +2,7 @@
 
 use hibiscusvale_core::ids::{BackendServerId, Incarnation};
 use hibiscusvale_core::quarantine::{
-    Fingerprint, Gossip, Quarantine, QuarantineSettings, Received, ReportPage, Verdict,
+    Fingerprint, Gossip, Quarantine, QuarantineSettings, ReceiveOutcome, ReportPage, Verdict,
 };
 use hibiscusvale_core::units::Millis;
 use parking_lot::Mutex;
@@ -94,7 +94,7 @@
         server: BackendServerId,
         in_flight_ms: Millis,
     ) {
-        let verdicts = self.quarantine.lock().crashed(clock::now(), fingerprint, server, in_flight_ms);
+        let verdicts = self.quarantine.lock().record_crash(clock::now(), fingerprint, server, in_flight_ms);
         self.publish(state, &verdicts);
         state.peers.schedule_message(Urgency::Soon);
     }
@@ -103,7 +103,7 @@
     pub fn survived(&self, state: &RelayState, fingerprint: Fingerprint) {
         let mut quarantine = self.quarantine.lock();
         let is_suspect = quarantine.is_suspect(fingerprint);
-        let verdicts = quarantine.survived(clock::now(), fingerprint);
+        let verdicts = quarantine.record_survival(clock::now(), fingerprint);
         drop(quarantine);
         if is_suspect {
             self.publish(state, &verdicts);
@@ -139,9 +139,9 @@
         Datagram::ReportPage(self.quarantine.lock().page(clock::now(), after))
     }
 
-    fn apply(&self, state: &RelayState, received: &Received) -> Option<Datagram> {
+    fn apply(&self, state: &RelayState, received: &ReceiveOutcome) -> Option<Datagram> {
         self.publish(state, &received.verdicts);
-        received.ask.map(Datagram::ReportRequest)
+        received.pull_after.map(Datagram::ReportRequest)
     }
 
     fn publish(&self, state: &RelayState, verdicts: &[Verdict]) {
--- a/crates/router/src/relay/quotas.rs
+++ b/crates/router/src/relay/quotas.rs
@@ -11,8 +11,8 @@
 
 use hibiscusvale_core::ids::{BackendServerId, HostId, Incarnation, PartnerId};
 use hibiscusvale_core::quota::{
-    Grant, LEASE_LIFE_MS, LeasedCredit, Ledger, LedgerRole, LedgerSettings, LimitStatement, Quota,
-    QuotaBounds, Suspicion, candidates, outranks, server_limit,
+    Grant, LEASE_TTL_MS, LeasedCredit, Ledger, LedgerRole, LedgerSettings, LimitStatement, Quota,
+    QuotaBounds, Suspicion, candidates, outranks, server_limit_settings,
 };
 use hibiscusvale_core::relay::routes::RouteTable;
 use hibiscusvale_core::units::{Credit, CreditPerSecond, Millis, MonoTime};
@@ -147,7 +147,7 @@
     /// Applies the limit that a server states. Granted and leased credit is kept.
     pub fn configure_server(&self, server: &BackendServerId, rate: CreditPerSecond) {
         let owner = QuotaOwner::Server(server.clone());
-        configure_account(&mut self.accounts.lock(), owner, server_limit(rate));
+        configure_account(&mut self.accounts.lock(), owner, server_limit_settings(rate));
     }
 
     /// Removes the limits of servers that are no longer listed.
@@ -244,7 +244,7 @@
     ) -> Option<Grant> {
         let address = state.peers.address_of(host)?;
         let now_us = clock::now();
-        let likely = self.accounts.lock().get_mut(owner)?.leased.likely(now_us);
+        let likely = self.accounts.lock().get_mut(owner)?.leased.expected_spend(now_us);
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let (reply_sender, reply) = oneshot::channel();
         self.add_pending(
@@ -265,13 +265,13 @@
             suspicions.remove(host);
             return grant;
         }
-        suspicions.entry(host.clone()).or_default().note_timeout(clock::now());
+        suspicions.entry(host.clone()).or_default().record_timeout(clock::now());
         None
     }
 
     fn add_pending(&self, now_us: MonoTime, number: u64, request: PendingRequest) {
         let mut pending = self.pending.lock();
-        pending.retain(|_, request| now_us < request.requested_us + LEASE_LIFE_MS);
+        pending.retain(|_, request| now_us < request.requested_us + LEASE_TTL_MS);
         pending.insert(number, request);
     }
 
@@ -304,7 +304,7 @@
     /// Credits what another daemon did not spend.
     pub fn accept_return(&self, returned: &QuotaReturn) {
         if let Some(account) = self.accounts.lock().get_mut(&returned.owner) {
-            account.ledger.put_back(clock::now(), returned.credit);
+            account.ledger.refund(clock::now(), returned.credit);
         }
     }
 
@@ -357,7 +357,7 @@
 
     fn deny(&self, owner: &QuotaOwner, credit: Credit, wait_ms: Millis) {
         if let Some(account) = self.accounts.lock().get_mut(owner) {
-            account.leased.deny(clock::now(), credit, wait_ms.min(DENIAL_CACHE_MS_MAX));
+            account.leased.record_denial(clock::now(), credit, wait_ms.min(DENIAL_CACHE_MS_MAX));
         }
     }
 
