--- a/crates/core/benches/outcomes.rs
+++ b/crates/core/benches/outcomes.rs
@@ -1,7 +1,7 @@
-//! Prints what callers see under each load, for the scheduler and for the ways that lost, in one run:
-//! `cargo bench -p hibiscusvale-core --bench outcomes`. Virtual time and fixed seeds: the figures are the
-//! same on any machine.
-#![allow(clippy::pedantic, reason = "a bench over test fakes")]
+//! Prints what callers see under each load, for the scheduler and for the alternative policies it was
+//! compared with: `cargo bench -p hibiscusvale-core --bench outcomes`. Virtual time and fixed seeds make the
+//! figures the same on any machine.
+#![allow(clippy::pedantic, reason = "benchmark on top of test fakes")]
 #![allow(dead_code, reason = "the tests use the rest of the fakes")]
 
 #[path = "../tests/sched/baseline.rs"]
@@ -22,9 +22,9 @@
 use load::{Placement, Scenario};
 use simulation::Simulation;
 
-type Way = (&'static str, fn(Scenario) -> Scenario);
+type Policy = (&'static str, fn(Scenario) -> Scenario);
 
-const WAYS: [Way; 5] = [
+const POLICIES: [Policy; 5] = [
     ("stale", |base| Scenario { placement: Placement::StaleReports, ..base }),
     ("two", |base| Scenario { placement: Placement::RandomTwo, ..base }),
     ("fifo", |base| Scenario { order: QueueOrder::Fifo, ..base }),
@@ -49,12 +49,12 @@
         "turns"
     );
     for (name, scenario) in scenarios::all() {
-        for (way, apply) in WAYS {
+        for (policy, apply) in POLICIES {
             let seconds = scenario.seconds;
             let outcome = Simulation::run(apply(scenario.clone()));
             let arrivals = outcome.arrivals().max(1) as f64;
             print!(
-                "{name:<22}{way:<9}{:>9.1}{:>9.2}{:>9.1}{:>9.2}{:>8}{:>8}{:>8}{:>7}{:>8.1}{:>6}",
+                "{name:<22}{policy:<9}{:>9.1}{:>9.2}{:>9.1}{:>9.2}{:>8}{:>8}{:>8}{:>7}{:>8.1}{:>6}",
                 outcome.goodput(),
                 outcome.good() as f64 / seconds as f64,
                 100.0 * outcome.refused() as f64 / arrivals,
--- a/crates/core/src/claim/answers.rs
+++ b/crates/core/src/claim/answers.rs
@@ -1,4 +1,4 @@
-//! Answers kept for callers who ask a second time.
+//! Cache of responses, served to callers that repeat a request.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
@@ -8,84 +8,84 @@
 
 use crate::units::Bytes;
 
-/// One header of a kept answer.
+/// A header of a stored response.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct StoredHeader {
-    /// Its name.
+    /// Header name.
     pub name: String,
-    /// Its value.
+    /// Header value.
     pub value: Vec<u8>,
 }
 
-/// An answer kept for second callers.
+/// A complete response, stored for repeated requests with the same key.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct StoredAnswer {
-    /// Status code.
+    /// HTTP status code.
     pub status: u16,
-    /// Headers that the caller was given.
+    /// Headers that the first caller received.
     pub headers: Vec<StoredHeader>,
-    /// The whole body.
+    /// Complete body.
     pub body: Vec<u8>,
 }
 
 impl StoredAnswer {
-    /// Memory that the answer takes.
+    /// Size that counts against the cache limits: header names, header values and body.
     pub fn size(&self) -> Bytes {
         let headers: usize = self.headers.iter().map(|header| header.name.len() + header.value.len()).sum();
         Bytes((headers + self.body.len()) as u64)
     }
 }
 
-/// Answers within a bound of memory; the oldest go first. Losing one is safe: the second caller is told that
-/// the answer is gone.
+/// Response cache of bounded size that evicts the oldest entries first. Eviction is safe: a repeated request
+/// is then told that the response is no longer available.
 #[derive(Debug)]
-pub struct AnswerMemory<Id> {
-    answer_bytes: Bytes,
+pub struct AnswerCache<Id> {
+    entry_limit_bytes: Bytes,
     limit_bytes: Bytes,
     used_bytes: Bytes,
-    kept: HashMap<Id, Arc<StoredAnswer>>,
-    by_age: VecDeque<Id>,
+    entries: HashMap<Id, Arc<StoredAnswer>>,
+    insertion_order: VecDeque<Id>,
 }
 
-impl<Id> AnswerMemory<Id>
+impl<Id> AnswerCache<Id>
 where
     Id: Clone + Eq + Hash,
 {
-    /// Keeps answers of at most `answer_bytes`, and `limit_bytes` in all.
-    pub fn new(answer_bytes: Bytes, limit_bytes: Bytes) -> Self {
+    /// Creates a cache for responses of at most `entry_limit_bytes` each and `limit_bytes` in total.
+    pub fn new(entry_limit_bytes: Bytes, limit_bytes: Bytes) -> Self {
         Self {
-            answer_bytes,
+            entry_limit_bytes,
             limit_bytes,
             used_bytes: Bytes::ZERO,
-            kept: HashMap::new(),
-            by_age: VecDeque::new(),
+            entries: HashMap::new(),
+            insertion_order: VecDeque::new(),
         }
     }
 
-    /// Keeps an answer, if it is small enough.
-    pub fn keep(&mut self, id: Id, answer: Arc<StoredAnswer>) {
-        if answer.size() > self.answer_bytes || self.kept.contains_key(&id) {
+    /// Stores a response, unless it exceeds the size limit or one is stored under `id` already.
+    pub fn insert(&mut self, id: Id, answer: Arc<StoredAnswer>) {
+        if answer.size() > self.entry_limit_bytes || self.entries.contains_key(&id) {
             return;
         }
         self.used_bytes += answer.size();
-        self.kept.insert(id.clone(), answer);
-        self.by_age.push_back(id);
+        self.entries.insert(id.clone(), answer);
+        self.insertion_order.push_back(id);
         while self.used_bytes > self.limit_bytes {
-            let Some(oldest) = self.by_age.pop_front() else {
+            let Some(oldest) = self.insertion_order.pop_front() else {
                 return;
             };
-            self.forget(&oldest);
+            self.remove(&oldest);
         }
     }
 
-    /// The answer, if it is still kept.
+    /// The stored response; `None` when it was evicted or never stored.
     pub fn get(&self, id: &Id) -> Option<&Arc<StoredAnswer>> {
-        self.kept.get(id)
+        self.entries.get(id)
     }
 
-    /// Forgets an answer.
-    pub fn forget(&mut self, id: &Id) {
-        if let Some(answer) = self.kept.remove(id) {
+    /// Removes a stored response.
+    pub fn remove(&mut self, id: &Id) {
+        if let Some(answer) = self.entries.remove(id) {
             self.used_bytes -= answer.size();
         }
     }
--- a/crates/core/src/claim/fold.rs
+++ b/crates/core/src/claim/fold.rs
@@ -1,4 +1,4 @@
-//! The claims of one partition as the log's order gives them.
+//! Claims of one partition, computed from the log's records in order.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -6,13 +6,13 @@
 use crate::ids::{Offset, RequestId};
 use crate::units::Millis;
 
-/// A record that does not follow the one folded last.
+/// Error for a record whose offset is not the next expected one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("record at offset {found} does not follow, offset {expected} was expected")]
+#[error("record at offset {found} is out of sequence; expected offset {expected}")]
 pub struct FoldError {
-    /// Offset that the fold expects.
+    /// Offset of the record expected next.
     pub expected: Offset,
-    /// Offset found.
+    /// Offset of the rejected record.
     pub found: Offset,
 }
 
@@ -24,23 +24,28 @@
 
 /// Deterministic fold over one partition's records: the same records give each daemon the same holders.
 ///
-/// Time in the fold is the latest clock written in any record so far, so that expiry too is decided by the
-/// log and not by the reader. A claim that loses restarts the holder's time: two readers that differ on
-/// whether the old claim had just expired still agree that the key is held now, and cannot both let a third
-/// request run.
+/// The fold's clock is the latest timestamp in any record so far, so expiry is decided by the log and not by
+/// the reader. A claim that loses restarts the holder's retention: two readers that disagree on whether the
+/// old claim had just expired still agree that the key is held now, and cannot both let a third request run.
 #[derive(Clone, Debug)]
 pub struct ClaimFold {
     hold_ms: Millis,
     next: Offset,
-    clock_unix_ms: UnixMillis,
+    log_clock_unix_ms: UnixMillis,
     holders: HashMap<ClaimKey, Holder>,
     by_age: VecDeque<(UnixMillis, ClaimKey)>,
 }
 
 impl ClaimFold {
-    /// An empty fold that expects the record at `next`.
+    /// Creates an empty fold that expects the record at `next`.
     pub fn new(hold_ms: Millis, next: Offset) -> Self {
-        Self { hold_ms, next, clock_unix_ms: UnixMillis(0), holders: HashMap::new(), by_age: VecDeque::new() }
+        Self {
+            hold_ms,
+            next,
+            log_clock_unix_ms: UnixMillis(0),
+            holders: HashMap::new(),
+            by_age: VecDeque::new(),
+        }
     }
 
     /// Offset of the record expected next.
@@ -58,7 +63,7 @@
         self.holders.is_empty()
     }
 
-    /// Who holds `key`.
+    /// The claim that holds `key`, if any.
     pub fn holder(&self, key: &ClaimKey) -> Option<&Claim> {
         self.holders.get(key).map(|holder| &holder.claim)
     }
@@ -68,24 +73,24 @@
         self.holder(key).is_some_and(|claim| claim.request == request)
     }
 
-    /// Whether `key` is held and would still be by a record that is written now.
+    /// Whether `key` is held and still would be for a record written at `unix_ms`.
     pub fn holds_at(&self, key: &ClaimKey, unix_ms: UnixMillis) -> bool {
         self.holders.get(key).is_some_and(|holder| holder.since_unix_ms.0 + self.hold_ms.0 > unix_ms.0)
     }
 
-    /// Takes the record at `offset`. A record that could not be decoded is passed as `None`: it counts as an
-    /// offset and claims nothing, for every reader alike.
+    /// Applies the record at `offset`. A record that could not be decoded is passed as `None`: it advances
+    /// the offset and claims nothing, for every reader alike.
     ///
     /// # Errors
     ///
-    /// [`FoldError`] when the record is not the next one; nothing is changed then.
+    /// [`FoldError`] if the record is not the next one; the fold is unchanged then.
     pub fn apply(&mut self, offset: Offset, group: Option<&ClaimGroup>) -> Result<(), FoldError> {
         if offset != self.next {
             return Err(FoldError { expected: self.next, found: offset });
         }
         self.next = offset.next();
         let Some(group) = group else { return Ok(()) };
-        self.clock_unix_ms = self.clock_unix_ms.max(group.appended_unix_ms);
+        self.log_clock_unix_ms = self.log_clock_unix_ms.max(group.appended_unix_ms);
         self.expire();
         for entry in &group.entries {
             match entry {
@@ -97,7 +102,7 @@
     }
 
     fn claim(&mut self, claim: &Claim) {
-        let since_unix_ms = self.clock_unix_ms;
+        let since_unix_ms = self.log_clock_unix_ms;
         self.by_age.push_back((since_unix_ms, claim.key));
         self.holders
             .entry(claim.key)
@@ -112,7 +117,7 @@
     }
 
     fn expire(&mut self) {
-        let Some(limit) = self.clock_unix_ms.0.checked_sub(self.hold_ms.0) else {
+        let Some(limit) = self.log_clock_unix_ms.0.checked_sub(self.hold_ms.0) else {
             return;
         };
         while let Some(&(since, key)) = self.by_age.front() {
--- a/crates/core/src/claim/machine.rs
+++ b/crates/core/src/claim/machine.rs
@@ -1,22 +1,22 @@
-//! The claims protocol at one daemon.
+//! State machine of the claims protocol at one daemon.
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::decision::{Decision, held_decision};
+use super::decision::{Decision, duplicate_decision};
 use super::owners::Owners;
-use super::partition::{AppendEnd, Asker, ClaimPage, Effect, Partition, Pending};
-use super::runs::{FinishedAs, HeldState, NewRun, RunState, Runs};
+use super::partition::{AppendOutcome, ClaimPage, Effect, Partition, Pending, Requester};
+use super::runs::{HolderState, NewRun, RunOutcome, RunState, Runs};
 use super::{BodyDigest, Claim, ClaimAction, ClaimKey, ClaimMessage, ClaimSettings, UnixMillis, Verdict};
 use crate::ids::{HostId, Incarnation, RequestId};
 use crate::units::{Millis, MonoTime};
 
 #[derive(Clone, Debug)]
 enum Stage {
-    /// The owner of the partition was asked.
+    /// Waiting for the partition's owner to decide the claim.
     Owner { until_us: MonoTime },
-    /// This daemon claims through the log itself.
+    /// This daemon appends the claim to the log itself.
     Log,
-    /// The holder of the key was asked.
+    /// Waiting for the key's holder to report the state of its request.
     Holder { claim: Claim, until_us: MonoTime },
 }
 
@@ -25,11 +25,11 @@
     claim: Claim,
     deadline_us: MonoTime,
     stage: Stage,
-    /// A record of the claim may stand, so that the key has to be freed if the caller is refused.
-    may_stand: bool,
+    /// The log may contain a record of the claim, so the key must be released if the caller is refused.
+    may_be_logged: bool,
 }
 
-/// State machine of the claims protocol at one daemon: takes events, returns [`ClaimAction`]s.
+/// State machine of the claims protocol at one daemon: takes events and returns [`ClaimAction`]s.
 #[derive(Debug)]
 pub struct Claims {
     host: HostId,
@@ -45,7 +45,7 @@
 }
 
 impl Claims {
-    /// The machine of the daemon `incarnation` on `host`.
+    /// Creates the state machine of the daemon `incarnation` on `host`.
     pub fn new(host: HostId, incarnation: Incarnation, settings: ClaimSettings) -> Self {
         let owners = Owners::new(host.clone(), settings);
         Self {
@@ -62,23 +62,23 @@
         }
     }
 
-    /// Names the daemons that are believed to live, this one among them or not. They only decide who usually
-    /// appends for a partition.
+    /// Sets the daemons believed to be alive, with or without this one. The list only selects which daemon
+    /// usually appends for a partition.
     pub fn set_members(&mut self, members: &[HostId]) {
         self.owners.set_members(members);
     }
 
-    /// The actions wanted since the last call, in order.
+    /// Returns the actions requested since the last call, in order.
     pub fn take_actions(&mut self) -> Vec<ClaimAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Whether something waits for time to pass.
+    /// Whether any claim, read or append is pending, so that `tick` has to be called.
     pub fn is_busy(&self) -> bool {
         !self.waiting.is_empty() || self.partitions.values().any(Partition::is_busy)
     }
 
-    /// A caller wants `request` run under `key`.
+    /// Starts the claim of `key` for a caller's `request`.
     pub fn begin(
         &mut self,
         now_us: MonoTime,
@@ -90,32 +90,35 @@
         self.unix_ms = unix_ms;
         if let Some((held, held_digest)) = self.runs.by_key(&key) {
             let state = self.runs.state(held);
-            self.decide(request, held_decision(held_digest == digest, state, self.settings.retry_after_ms));
+            self.push_decision(
+                request,
+                duplicate_decision(held_digest == digest, state, self.settings.retry_after_ms),
+            );
             return;
         }
         if let Some(first) = self.waiting_keys.get(&key).and_then(|first| self.waiting.get(first)) {
             let same = first.claim.digest == digest;
-            self.decide(request, if same { Decision::InProgress } else { Decision::OtherBody });
+            self.push_decision(request, if same { Decision::InProgress } else { Decision::BodyMismatch });
             return;
         }
         if self.runs.is_full() {
             let retry_after_ms = self.settings.retry_after_ms;
-            self.decide(request, Decision::Unavailable { retry_after_ms });
+            self.push_decision(request, Decision::Unavailable { retry_after_ms });
             return;
         }
         let claim = Claim { key, digest, request, host: self.host.clone() };
         let deadline_us = now_us + self.settings.begin_timeout_ms;
         self.waiting_keys.insert(key, request);
-        self.waiting.insert(request, Waiting { claim, deadline_us, stage: Stage::Log, may_stand: false });
-        self.ask(now_us, request);
+        self.waiting.insert(request, Waiting { claim, deadline_us, stage: Stage::Log, may_be_logged: false });
+        self.ask_owner(now_us, request);
     }
 
-    fn ask(&mut self, now_us: MonoTime, request: RequestId) {
+    fn ask_owner(&mut self, now_us: MonoTime, request: RequestId) {
         let Some(waiting) = self.waiting.get(&request) else {
             return;
         };
         let partition = waiting.claim.key.partition(self.settings.partitions);
-        let Some(to) = self.owners.to_ask(now_us, partition).cloned() else {
+        let Some(to) = self.owners.owner_to_ask(now_us, partition).cloned() else {
             self.claim_through_log(now_us, request);
             return;
         };
@@ -124,44 +127,44 @@
             return;
         };
         waiting.stage = Stage::Owner { until_us };
-        waiting.may_stand = true;
+        waiting.may_be_logged = true;
         let message = ClaimMessage::Ask(waiting.claim.clone());
         self.actions.push(ClaimAction::Send { to, message });
     }
 
-    /// The owner that was asked gave no answer in time: the log is asked without it.
-    fn owner_silent(&mut self, now_us: MonoTime, request: RequestId) {
+    /// The owner did not answer in time: this daemon claims through the log without it.
+    fn owner_timed_out(&mut self, now_us: MonoTime, request: RequestId) {
         if let Some(waiting) = self.waiting.get(&request) {
             let partition = waiting.claim.key.partition(self.settings.partitions);
-            self.owners.note_silent(now_us, partition);
+            self.owners.mark_unresponsive(now_us, partition);
         }
         self.claim_through_log(now_us, request);
     }
 
-    /// The owner took the claim in. It is given the time that the log may need: were a slow log taken for a silent
-    /// owner, all daemons would append at once, and a log that is slow would get more to do for it.
-    fn taken(&mut self, now_us: MonoTime, request: RequestId) {
-        let taken_ms = self.settings.taken_timeout_ms;
+    /// The owner accepted the claim, and gets the time that the log may need. If a slow log were taken for an
+    /// unresponsive owner, all daemons would append at once and load the slow log further.
+    fn handle_accepted(&mut self, now_us: MonoTime, request: RequestId) {
+        let accepted_ms = self.settings.accepted_timeout_ms;
         let Some(waiting) = self.waiting.get_mut(&request) else {
             return;
         };
         if let Stage::Owner { until_us } = &mut waiting.stage {
-            *until_us = now_us + taken_ms;
+            *until_us = now_us + accepted_ms;
         }
     }
 
-    fn asked(&mut self, now_us: MonoTime, from: &HostId, claim: Claim) {
+    fn handle_ask(&mut self, now_us: MonoTime, from: &HostId, claim: Claim) {
         let request = claim.request;
         let id = claim.key.partition(self.settings.partitions);
         let pending = Pending {
             claim,
-            asker: Asker::Peer(from.clone()),
+            requester: Requester::Peer(from.clone()),
             deadline_us: now_us + self.settings.begin_timeout_ms,
-            may_stand: false,
+            may_be_logged: false,
         };
         self.submit(now_us, pending);
-        if self.partitions.get(&id).is_some_and(|partition| partition.has(request)) {
-            let message = ClaimMessage::Taken { request };
+        if self.partitions.get(&id).is_some_and(|partition| partition.has_claim(request)) {
+            let message = ClaimMessage::Accepted { request };
             self.actions.push(ClaimAction::Send { to: from.clone(), message });
         }
     }
@@ -173,9 +176,9 @@
         waiting.stage = Stage::Log;
         let pending = Pending {
             claim: waiting.claim.clone(),
-            asker: Asker::Local,
+            requester: Requester::Local,
             deadline_us: waiting.deadline_us,
-            may_stand: waiting.may_stand,
+            may_be_logged: waiting.may_be_logged,
         };
         self.submit(now_us, pending);
     }
@@ -197,17 +200,17 @@
         act(partition, &mut effects);
         partition.step(now_us, self.unix_ms, &mut effects);
         for effect in effects {
-            self.carry(now_us, id, effect);
+            self.apply_effect(now_us, id, effect);
         }
     }
 
-    fn carry(&mut self, now_us: MonoTime, partition: u16, effect: Effect) {
+    fn apply_effect(&mut self, now_us: MonoTime, partition: u16, effect: Effect) {
         match effect {
             Effect::Append(group) => self.actions.push(ClaimAction::Append { partition, group }),
             Effect::Read { from, limit } => self.actions.push(ClaimAction::Read { partition, from, limit }),
-            Effect::Verdict { pending, verdict } => match pending.asker {
-                Asker::Local => self.verdict(now_us, pending.claim.request, verdict),
-                Asker::Peer(to) => {
+            Effect::Verdict { pending, verdict } => match pending.requester {
+                Requester::Local => self.handle_verdict(now_us, pending.claim.request, verdict),
+                Requester::Peer(to) => {
                     let message = ClaimMessage::Verdict { request: pending.claim.request, verdict };
                     self.actions.push(ClaimAction::Send { to, message });
                 }
@@ -215,33 +218,51 @@
         }
     }
 
-    /// An append to `partition` ended.
-    pub fn appended(&mut self, now_us: MonoTime, unix_ms: UnixMillis, partition: u16, end: AppendEnd) {
+    /// Handles the end of an append to `partition`.
+    pub fn append_ended(
+        &mut self,
+        now_us: MonoTime,
+        unix_ms: UnixMillis,
+        partition: u16,
+        outcome: AppendOutcome,
+    ) {
         self.unix_ms = unix_ms;
         self.with_partition(now_us, partition, |partition, effects| {
-            partition.appended(now_us, end, effects);
+            partition.append_ended(now_us, outcome, effects);
         });
     }
 
-    /// A read of `partition` ended; `None` when it failed.
-    pub fn page(&mut self, now_us: MonoTime, unix_ms: UnixMillis, partition: u16, page: Option<ClaimPage>) {
+    /// Handles the end of a read of `partition`; `page` is `None` if the read failed.
+    pub fn read_ended(
+        &mut self,
+        now_us: MonoTime,
+        unix_ms: UnixMillis,
+        partition: u16,
+        page: Option<ClaimPage>,
+    ) {
         self.unix_ms = unix_ms;
         self.with_partition(now_us, partition, |partition, effects| {
-            partition.page(now_us, unix_ms, page, effects);
+            partition.read_ended(now_us, unix_ms, page, effects);
         });
     }
 
-    /// Another daemon says something.
-    pub fn peer(&mut self, now_us: MonoTime, unix_ms: UnixMillis, from: &HostId, message: ClaimMessage) {
+    /// Handles a message from the daemon on `from`.
+    pub fn handle_message(
+        &mut self,
+        now_us: MonoTime,
+        unix_ms: UnixMillis,
+        from: &HostId,
+        message: ClaimMessage,
+    ) {
         self.unix_ms = unix_ms;
         match message {
-            ClaimMessage::Leaving => self.owners.note_leaving(now_us, from),
-            ClaimMessage::Ask(claim) => self.asked(now_us, from, claim),
-            ClaimMessage::Taken { request } => self.taken(now_us, request),
-            ClaimMessage::Verdict { request, verdict } => self.peer_verdict(now_us, request, verdict),
+            ClaimMessage::Leaving => self.owners.mark_leaving(now_us, from),
+            ClaimMessage::Ask(claim) => self.handle_ask(now_us, from, claim),
+            ClaimMessage::Accepted { request } => self.handle_accepted(now_us, request),
+            ClaimMessage::Verdict { request, verdict } => self.handle_peer_verdict(now_us, request, verdict),
             ClaimMessage::Query { request, holder } => self.answer_query(now_us, from, request, holder),
             ClaimMessage::State { request, holder, state } => {
-                self.holder_state(now_us, request, holder, state);
+                self.handle_holder_state(now_us, request, holder, state);
             }
             ClaimMessage::Release { key, request } => {
                 let id = key.partition(self.settings.partitions);
@@ -250,24 +271,25 @@
         }
     }
 
-    /// A refusal of the owner that comes after this daemon began to claim through the log itself says nothing
-    /// of the own try; what the log's order says counts whoever read it.
-    fn peer_verdict(&mut self, now_us: MonoTime, request: RequestId, verdict: Verdict) {
+    /// A refusal by the owner that arrives after this daemon started its own append says nothing about that
+    /// append. A verdict derived from the log's order is valid whichever daemon read it.
+    fn handle_peer_verdict(&mut self, now_us: MonoTime, request: RequestId, verdict: Verdict) {
         let Some(waiting) = self.waiting.get(&request) else {
             return;
         };
         let ordered = matches!(verdict, Verdict::Won | Verdict::Held(_));
-        let own_try = matches!(waiting.stage, Stage::Log);
-        if ordered || !own_try {
-            self.verdict(now_us, request, verdict);
+        let own_attempt = matches!(waiting.stage, Stage::Log);
+        if ordered || !own_attempt {
+            self.handle_verdict(now_us, request, verdict);
         }
         if let Some(waiting) = self.waiting.get_mut(&request) {
-            // The own record is still on its way, and could win once the present holder has been freed.
-            waiting.may_stand |= own_try;
+            // This daemon's record is still being appended, and could win once the present holder's key has
+            // been released.
+            waiting.may_be_logged |= own_attempt;
         }
     }
 
-    fn verdict(&mut self, now_us: MonoTime, request: RequestId, verdict: Verdict) {
+    fn handle_verdict(&mut self, now_us: MonoTime, request: RequestId, verdict: Verdict) {
         let Some(waiting) = self.waiting.get_mut(&request) else {
             return;
         };
@@ -275,51 +297,52 @@
             return;
         }
         if waiting.deadline_us <= now_us {
-            // A verdict that came during a pause: the key may be another's by now.
-            waiting.may_stand |= !matches!(verdict, Verdict::NotClaimed { .. });
+            // The verdict arrived after a pause: another request may hold the key by now.
+            waiting.may_be_logged |= !matches!(verdict, Verdict::NotClaimed { .. });
             self.refuse(now_us, request, self.settings.retry_after_ms);
             return;
         }
         if matches!(verdict, Verdict::Held(_)) {
-            waiting.may_stand = false;
+            waiting.may_be_logged = false;
         }
         match verdict {
-            Verdict::Won => self.run(now_us, request),
+            Verdict::Won => self.start_run(now_us, request),
             Verdict::Held(claim) if claim.digest != waiting.claim.digest => {
-                self.settle(now_us, request, Decision::OtherBody);
+                self.resolve(now_us, request, Decision::BodyMismatch);
             }
-            Verdict::Held(claim) => self.held(now_us, request, claim),
+            Verdict::Held(claim) => self.handle_held(now_us, request, claim),
             Verdict::NotClaimed { retry_after_ms } => {
-                // The owner proved that it appended nothing; only this daemon's own tries may stand.
+                // The owner proved that it appended nothing; only this daemon's own appends may be in the
+                // log.
                 if matches!(waiting.stage, Stage::Owner { .. }) {
-                    waiting.may_stand = false;
+                    waiting.may_be_logged = false;
                 }
                 self.refuse(now_us, request, retry_after_ms);
             }
             Verdict::Undecided { retry_after_ms } => {
-                waiting.may_stand = true;
+                waiting.may_be_logged = true;
                 self.refuse(now_us, request, retry_after_ms);
             }
         }
     }
 
-    fn run(&mut self, now_us: MonoTime, request: RequestId) {
+    fn start_run(&mut self, now_us: MonoTime, request: RequestId) {
         let Some(waiting) = self.waiting.get(&request) else {
             return;
         };
         let Claim { key, digest, .. } = waiting.claim;
         let start_by_us = now_us + self.settings.start_within_ms;
         self.runs.insert(now_us, request, NewRun { key, digest, state: RunState::Running });
-        self.settle(now_us, request, Decision::Run { start_by_us });
+        self.resolve(now_us, request, Decision::Run { start_by_us });
     }
 
     fn refuse(&mut self, now_us: MonoTime, request: RequestId, retry_after_ms: Millis) {
-        self.settle(now_us, request, Decision::Unavailable { retry_after_ms });
+        self.resolve(now_us, request, Decision::Unavailable { retry_after_ms });
     }
 
-    fn free(&mut self, now_us: MonoTime, key: ClaimKey, request: RequestId) {
+    fn release_key(&mut self, now_us: MonoTime, key: ClaimKey, request: RequestId) {
         let id = key.partition(self.settings.partitions);
-        if let Some(to) = self.owners.other(id).cloned() {
+        if let Some(to) = self.owners.remote_owner(id).cloned() {
             let message = ClaimMessage::Release { key, request };
             self.actions.push(ClaimAction::Send { to, message });
         } else {
@@ -329,18 +352,19 @@
         }
     }
 
-    fn held(&mut self, now_us: MonoTime, request: RequestId, claim: Claim) {
+    fn handle_held(&mut self, now_us: MonoTime, request: RequestId, claim: Claim) {
         if claim.request.incarnation == self.incarnation {
             let state = self.runs.state(claim.request);
-            if let Some(key) = self.runs.freeable(now_us, claim.request) {
-                self.free(now_us, key, claim.request);
+            if let Some(key) = self.runs.releasable_key(now_us, claim.request) {
+                self.release_key(now_us, key, claim.request);
             }
-            self.settle(now_us, request, held_decision(true, state, self.settings.retry_after_ms));
+            self.resolve(now_us, request, duplicate_decision(true, state, self.settings.retry_after_ms));
             return;
         }
         if claim.host == self.host {
-            // An earlier life of this daemon took it in, and nobody else can know.
-            self.settle(now_us, request, Decision::Unknown);
+            // An earlier incarnation of this daemon handled that request, and no other daemon knows its
+            // outcome.
+            self.resolve(now_us, request, Decision::Unknown);
             return;
         }
         let Some(waiting) = self.waiting.get_mut(&request) else {
@@ -355,19 +379,25 @@
 
     fn answer_query(&mut self, now_us: MonoTime, to: &HostId, request: RequestId, holder: RequestId) {
         let state = if let Some(waiting) = self.waiting.get(&holder) {
-            debug_assert!(waiting.claim.request == holder, "the map is keyed by the request");
-            HeldState::Running
+            debug_assert!(waiting.claim.request == holder, "pending claims are keyed by request id");
+            HolderState::Running
         } else {
             self.runs.state(holder)
         };
-        if let Some(key) = self.runs.freeable(now_us, holder) {
-            self.free(now_us, key, holder);
+        if let Some(key) = self.runs.releasable_key(now_us, holder) {
+            self.release_key(now_us, key, holder);
         }
         let message = ClaimMessage::State { request, holder, state };
         self.actions.push(ClaimAction::Send { to: to.clone(), message });
     }
 
-    fn holder_state(&mut self, now_us: MonoTime, request: RequestId, holder: RequestId, state: HeldState) {
+    fn handle_holder_state(
+        &mut self,
+        now_us: MonoTime,
+        request: RequestId,
+        holder: RequestId,
+        state: HolderState,
+    ) {
         let Some(waiting) = self.waiting.get(&request) else {
             return;
         };
@@ -375,38 +405,39 @@
             return;
         };
         if claim.request == holder {
-            self.settle(now_us, request, held_decision(true, state, self.settings.retry_after_ms));
+            self.resolve(now_us, request, duplicate_decision(true, state, self.settings.retry_after_ms));
         }
     }
 
-    /// The caller's task reports how the request that it was told to run ended.
+    /// Records how a request that the task was told to run ended.
     pub fn finish(
         &mut self,
         now_us: MonoTime,
         unix_ms: UnixMillis,
         request: RequestId,
-        finished: FinishedAs,
+        finished: RunOutcome,
     ) {
         self.unix_ms = unix_ms;
         self.runs.finish(request, finished);
-        if let Some(key) = self.runs.freeable(now_us, request) {
-            self.free(now_us, key, request);
+        if let Some(key) = self.runs.releasable_key(now_us, request) {
+            self.release_key(now_us, key, request);
         }
     }
 
-    /// Time has passed.
+    /// Handles timeouts and expiry. To be called regularly while [`Self::is_busy`].
     pub fn tick(&mut self, now_us: MonoTime, unix_ms: UnixMillis) {
         self.unix_ms = unix_ms;
         let ids: Vec<u16> = self.partitions.keys().copied().collect();
         for id in ids {
             self.with_partition(now_us, id, |_, _| {});
         }
-        let late: Vec<RequestId> = self.waiting.keys().copied().collect();
-        for request in late {
+        let waiting: Vec<RequestId> = self.waiting.keys().copied().collect();
+        for request in waiting {
             self.tick_waiting(now_us, request);
         }
         let owners = &self.owners;
-        self.partitions.retain(|&id, partition| owners.other(id).is_none() || !partition.is_idle(now_us));
+        self.partitions
+            .retain(|&id, partition| owners.remote_owner(id).is_none() || !partition.is_idle(now_us));
         self.runs.expire(now_us);
     }
 
@@ -416,33 +447,33 @@
         };
         match &waiting.stage {
             Stage::Holder { until_us, .. } if *until_us <= now_us => {
-                self.settle(now_us, request, Decision::Unknown);
+                self.resolve(now_us, request, Decision::Unknown);
             }
             Stage::Holder { .. } => {}
             _ if waiting.deadline_us <= now_us => {
-                waiting.may_stand = true;
+                waiting.may_be_logged = true;
                 self.refuse(now_us, request, self.settings.retry_after_ms);
             }
-            Stage::Owner { until_us } if *until_us <= now_us => self.owner_silent(now_us, request),
+            Stage::Owner { until_us } if *until_us <= now_us => self.owner_timed_out(now_us, request),
             Stage::Owner { .. } | Stage::Log => {}
         }
     }
 
-    /// Tells the caller. A request that is not to run never will, so the key is freed where a record of its
-    /// claim may stand: otherwise a refused caller could not use its key again before it expires.
-    fn settle(&mut self, now_us: MonoTime, request: RequestId, decision: Decision) {
+    /// Delivers the decision. A request that is told not to run never will, so its key is released if the log
+    /// may contain its claim: otherwise a refused caller could not use the key again until it expires.
+    fn resolve(&mut self, now_us: MonoTime, request: RequestId, decision: Decision) {
         if let Some(waiting) = self.waiting.remove(&request) {
             let Claim { key, digest, .. } = waiting.claim;
             self.waiting_keys.remove(&key);
-            if waiting.may_stand && !matches!(decision, Decision::Run { .. }) {
+            if waiting.may_be_logged && !matches!(decision, Decision::Run { .. }) {
                 self.runs.insert(now_us, request, NewRun { key, digest, state: RunState::NotRun });
-                self.free(now_us, key, request);
+                self.release_key(now_us, key, request);
             }
         }
-        self.decide(request, decision);
+        self.push_decision(request, decision);
     }
 
-    fn decide(&mut self, request: RequestId, decision: Decision) {
+    fn push_decision(&mut self, request: RequestId, decision: Decision) {
         self.actions.push(ClaimAction::Decide { request, decision });
     }
 }
--- a/crates/core/src/claim/mod.rs
+++ b/crates/core/src/claim/mod.rs
@@ -1,53 +1,55 @@
-//! Claims: a request that must not run twice runs only after a record on the platform's log says that this
-//! request, and no other with its key, may.
+//! Claims on idempotency keys: a request that must not run twice runs only after a record in the platform's
+//! log grants the key to this request and to no other.
 //!
 //! A key belongs to one partition, a partition is one stream of the log, and the first record for a key in
-//! the stream's order wins, whoever appended it. The daemon that usually appends for a partition, its owner,
-//! only saves appends by grouping them: daemons that disagree on the owner may both append, and the order of
-//! the log decides between them. `docs/FAILURES.md` holds the reasons and `spec/claim.pml` the model.
+//! stream order wins, whichever daemon appended it. The daemon that usually appends for a partition, its
+//! owner, only reduces the number of appends by grouping them: daemons that disagree on the owner may both
+//! append, and the order of the log decides between them. The reasons are in `docs/FAILURES.md`, the formal
+//! model is `spec/claim.pml`.
 
 mod answers;
 mod decision;
 mod fold;
 mod machine;
-mod opening;
 mod owners;
 mod partition;
 mod runs;
+mod start_search;
 
 use serde::{Deserialize, Serialize};
 
-pub use answers::{AnswerMemory, StoredAnswer, StoredHeader};
+pub use answers::{AnswerCache, StoredAnswer, StoredHeader};
 pub use decision::Decision;
 pub use fold::{ClaimFold, FoldError};
 pub use machine::Claims;
-pub use partition::{AppendEnd, ClaimPage, ClaimRecord};
-pub use runs::{FinishedAs, HeldState};
+pub use partition::{AppendOutcome, ClaimPage, ClaimRecord};
+pub use runs::{HolderState, RunOutcome};
 
 use crate::ids::{HostId, IdempotencyKey, Offset, PartnerId, RequestId};
 use crate::units::{Bytes, Millis};
 
-/// Bytes kept of a BLAKE3 hash: two different keys or bodies meet with a chance of 2^-64 among 2^32 of them.
+/// Bytes of the truncated BLAKE3 hash: two of 2^32 different keys or bodies collide with a probability of
+/// 2^-64.
 const HASH_BYTES: usize = 16;
 
-/// A partner's idempotency key, hashed. The log holds no caller's text, and each record has the same size.
+/// Hash of a partner's idempotency key. The log contains no caller's text, and each record has the same size.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct ClaimKey(pub [u8; HASH_BYTES]);
 
 impl ClaimKey {
-    /// Hashes the key together with its partner, so that two partners may use the same text.
+    /// Hashes the key together with its partner, so that two partners may use the same key text.
     pub fn new(partner: &PartnerId, key: &IdempotencyKey) -> Self {
         Self(hash(&[partner.as_str().as_bytes(), key.as_str().as_bytes()]))
     }
 
-    /// The partition that the key belongs to, of `partitions` in all.
+    /// The partition of the key, out of `partitions`.
     pub fn partition(&self, partitions: u16) -> u16 {
         let [first, second, ..] = self.0;
         u16::from_le_bytes([first, second]) % partitions.max(1)
     }
 }
 
-/// Digest of what a request asks for: the same key with another digest is refused.
+/// Digest of a request's contents: the same key with another digest is refused.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct BodyDigest(pub [u8; HASH_BYTES]);
 
@@ -69,187 +71,189 @@
     short
 }
 
-/// Milliseconds since 1970 by the clock of the daemon that wrote it.
+/// Milliseconds since 1970-01-01 UTC, by the clock of the daemon that wrote the timestamp.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct UnixMillis(pub u64);
 
-/// Who holds a key.
+/// Claim of a request on a key.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, Deserialize, Serialize)]
 pub struct Claim {
-    /// The key.
+    /// Key that is claimed or released.
     pub key: ClaimKey,
-    /// What the request asks for.
+    /// Digest of the request's contents.
     pub digest: BodyDigest,
-    /// The request that alone may run.
+    /// The only request that may run under the key.
     pub request: RequestId,
-    /// The host whose daemon took it in and alone may run it.
+    /// Host whose daemon received the request and alone may run it.
     pub host: HostId,
 }
 
-/// One entry of a group.
+/// Entry of a [`ClaimGroup`].
 #[derive(Clone, Debug, Eq, Hash, PartialEq, Deserialize, Serialize)]
 pub enum ClaimEntry {
-    /// Asks for the key.
+    /// Claims a key.
     Claim(Claim),
-    /// Frees the key: its holder proved that the request did not run and never will.
+    /// Releases a key whose holder proved that its request did not run and never will.
     Release {
-        /// The key.
+        /// Key that is claimed or released.
         key: ClaimKey,
-        /// The request that held it.
+        /// Request that held the key.
         request: RequestId,
     },
 }
 
-/// One record of a claims stream: all entries that gathered while the last append was on its way.
+/// Record of a claims stream: all entries that were queued while the previous append was in flight.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, Deserialize, Serialize)]
 pub struct ClaimGroup {
-    /// Clock of the daemon that appended it.
+    /// Time of the append, by the appending daemon's clock.
     pub appended_unix_ms: UnixMillis,
-    /// The entries, in order.
+    /// Entries in the order in which they apply.
     pub entries: Vec<ClaimEntry>,
 }
 
-/// What the log's order says about a request's claim.
+/// Result of a claim.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum Verdict {
     /// The request holds its key.
     Won,
     /// Another request holds the key.
     Held(Claim),
-    /// No record of the request's claim was appended, and the one that says so will append none.
+    /// No record of the claim was appended, and the reporting daemon will not append one.
     NotClaimed {
-        /// When another try may help.
+        /// Suggested delay before a retry.
         retry_after_ms: Millis,
     },
-    /// A record may stand, and could not be read back in time.
+    /// A record of the claim may be in the log but could not be read back in time.
     Undecided {
-        /// When another try may help.
+        /// Suggested delay before a retry.
         retry_after_ms: Millis,
     },
 }
 
-/// What daemons say to each other about claims. Each message may be lost, doubled or late: a receiver
-/// matches it by request id, and ids are never reused.
+/// Messages between daemons about claims. A message may be lost, duplicated or delayed: receivers match it by
+/// request id, and ids are never reused.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub enum ClaimMessage {
-    /// To all: the sender stops, and is not to be asked as an owner any more.
+    /// To all daemons: the sender is shutting down and is not to be used as an owner any more.
     Leaving,
-    /// To the owner of a partition: claim this.
+    /// To the owner of a partition: append this claim.
     Ask(Claim),
-    /// From the owner: the claim is on its way to the log.
-    Taken {
-        /// The request that asked.
+    /// From the owner: the claim is queued for the log.
+    Accepted {
+        /// Request that the message answers.
         request: RequestId,
     },
-    /// From the owner.
+    /// From the owner: the result of a claim.
     Verdict {
-        /// The request that asked.
+        /// Request that the message answers.
         request: RequestId,
-        /// What became of its claim.
+        /// Result of the claim.
         verdict: Verdict,
     },
-    /// To the holder of a key: what became of your request?
+    /// To the holder of a key: asks for the state of the request that holds it.
     Query {
-        /// The request that asks.
+        /// Request whose claim found the key held.
         request: RequestId,
-        /// The request asked about.
+        /// Request that holds the key.
         holder: RequestId,
     },
-    /// From the holder.
+    /// From the holder: answer to a query.
     State {
-        /// The request that asked.
+        /// Request that the message answers.
         request: RequestId,
-        /// The request asked about.
+        /// Request that holds the key.
         holder: RequestId,
-        /// What became of it.
-        state: HeldState,
+        /// State of the holding request.
+        state: HolderState,
     },
-    /// To the owner of a partition: the holder proved that it did not run.
+    /// To the owner of a partition: release the key, because its holder did not run.
     Release {
-        /// The key.
+        /// Key that is claimed or released.
         key: ClaimKey,
-        /// The request that held it.
+        /// Request that held the key.
         request: RequestId,
     },
 }
 
-/// What the machine wants done.
+/// Action for the caller of the state machine to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimAction {
-    /// Append one record to the partition's stream and report the end of it.
+    /// Append one record to the partition's stream and report the result to [`Claims::append_ended`].
     Append {
-        /// The partition.
+        /// Partition number.
         partition: u16,
-        /// The record.
+        /// Record to append.
         group: ClaimGroup,
     },
-    /// Read the partition's stream and report the page.
+    /// Read the partition's stream and report the page to [`Claims::read_ended`].
     Read {
-        /// The partition.
+        /// Partition number.
         partition: u16,
-        /// First offset wanted.
+        /// First offset to read.
         from: Offset,
-        /// Records wanted at most.
+        /// Maximum number of records.
         limit: u32,
     },
-    /// Tell another daemon.
+    /// Send a message to another daemon.
     Send {
-        /// The host it runs on.
+        /// Host of the receiving daemon.
         to: HostId,
-        /// What to say.
+        /// Message to send.
         message: ClaimMessage,
     },
-    /// Tell the caller's task what to do.
+    /// Deliver the decision to the task that handles the caller's request.
     Decide {
-        /// The request that began.
+        /// Request that started the claim.
         request: RequestId,
-        /// What it is to do.
+        /// Result of the claim for the task.
         decision: Decision,
     },
 }
 
-/// Bounds of the claims protocol.
+/// Limits and timeouts of the claims protocol.
 #[derive(Clone, Copy, Debug)]
 pub struct ClaimSettings {
-    /// Number of streams that keys are spread over. All daemons must agree on it: it is part of the protocol.
+    /// Number of streams that keys are spread over. Part of the protocol: all daemons must use the same
+    /// value.
     pub partitions: u16,
-    /// How long a key is remembered, as told to callers. The log must keep records at least twice as long.
+    /// Retention of a key, as stated to callers. The log must keep records for at least twice as long.
     pub retention_ms: Millis,
-    /// How far the clocks of two hosts may differ.
+    /// Maximum difference between the clocks of two hosts.
     pub clock_skew_ms: Millis,
-    /// Time in which a claim is decided, or the caller is refused.
+    /// Time limit for deciding a claim; after it the caller is refused.
     pub begin_timeout_ms: Millis,
-    /// Time from the claim in which the request must be sent to a server: it may queue for one. The key is held
-    /// for longer by far, so a process that was paused cannot send it when the key is another's.
+    /// Time limit from the claim to sending the request to a server, including the wait for one. Far shorter
+    /// than the retention of the key, so that a process that was paused cannot send the request when another
+    /// holds the key.
     pub start_within_ms: Millis,
-    /// Time for an owner that took a claim in to decide it.
-    pub taken_timeout_ms: Millis,
-    /// Time for an owner or a holder to answer.
+    /// Time limit for an owner to decide a claim that it accepted.
+    pub accepted_timeout_ms: Millis,
+    /// Time limit for an owner or a holder to answer a message.
     pub peer_timeout_ms: Millis,
-    /// Time for which an owner that gave no answer is passed over. Short, so that a lost message costs the
-    /// grouping of appends for no longer.
-    pub silent_ms: Millis,
-    /// Time for which an owner that said that it stops is passed over: until membership has told everybody.
+    /// Time for which an owner that did not answer is bypassed. Short, so that a lost message disables the
+    /// grouping of appends only briefly.
+    pub unresponsive_ms: Millis,
+    /// Time for which an owner that announced its shutdown is bypassed: until membership has spread the news.
     pub leaving_ms: Millis,
-    /// Least time between two appends to one partition. With `partitions` it bounds what claims take of the
+    /// Minimum time between two appends to one partition. With `partitions` it limits the claims' part of the
     /// log's rate: 32 partitions every 100 ms are 320 appends a second.
     pub append_interval_ms: Millis,
-    /// Entries in one group at most.
+    /// Maximum number of entries in one group.
     pub group_entries: usize,
-    /// Records asked for in one read.
+    /// Maximum number of records requested in one read.
     pub read_limit: u32,
-    /// Time after which the state of a partition that belongs to another daemon is dropped.
+    /// Idle time after which the state of a partition that another daemon owns is dropped.
     pub idle_ms: Millis,
-    /// Claims remembered for one partition at most; beyond, callers are refused, for forgetting one early
-    /// could run it twice.
+    /// Maximum number of claims retained for one partition. Beyond it callers are refused, because dropping a
+    /// claim early could let its request run twice.
     pub partition_claims: usize,
-    /// Requests of this daemon whose end is remembered at most.
+    /// Maximum number of this daemon's requests whose outcome is retained.
     pub runs: usize,
-    /// Largest answer kept for second callers.
+    /// Maximum size of one cached response.
     pub answer_bytes: Bytes,
-    /// All answers kept for second callers.
+    /// Maximum total size of the cached responses.
     pub answers_bytes: Bytes,
-    /// What a refused caller is told to wait.
+    /// Retry delay suggested to refused callers.
     pub retry_after_ms: Millis,
 }
 
@@ -261,9 +265,9 @@
             clock_skew_ms: Millis(30_000),
             begin_timeout_ms: Millis(2_000),
             start_within_ms: Millis(60_000),
-            taken_timeout_ms: Millis(1_200),
+            accepted_timeout_ms: Millis(1_200),
             peer_timeout_ms: Millis(300),
-            silent_ms: Millis(2_000),
+            unresponsive_ms: Millis(2_000),
             leaving_ms: Millis(30_000),
             append_interval_ms: Millis(100),
             group_entries: 256,
@@ -279,7 +283,7 @@
 }
 
 impl ClaimSettings {
-    /// How long the fold holds a key: the time told to callers, and the most that two clocks can shorten it.
+    /// How long the fold holds a key: the stated retention plus the most that two clocks can shorten it by.
     pub fn hold_ms(&self) -> Millis {
         self.retention_ms + self.clock_skew_ms + self.clock_skew_ms
     }
--- a/crates/core/src/claim/owners.rs
+++ b/crates/core/src/claim/owners.rs
@@ -1,4 +1,5 @@
-//! Who usually appends for a partition. It saves appends and decides nothing: see the module of claims.
+//! Selection of the daemon that usually appends for a partition. It only reduces the number of appends and
+//! decides no claim; see the module [`claim`](super).
 
 use std::collections::HashMap;
 
@@ -7,20 +8,20 @@
 use crate::units::MonoTime;
 use crate::watch::{JobHash, owner_among};
 
-/// The usual appender of each partition, as one daemon believes.
+/// Owner of each partition, by this daemon's view of the membership.
 #[derive(Debug)]
 pub(super) struct Owners {
     own: HostId,
     settings: ClaimSettings,
     /// Empty while no member is known.
     by_partition: Vec<HostId>,
-    /// Owners that gave no answer, and until when they are passed over.
-    silent: HashMap<HostId, MonoTime>,
+    /// Owners to bypass because they did not answer or are shutting down, with the end of that time.
+    unresponsive_until_us: HashMap<HostId, MonoTime>,
 }
 
 impl Owners {
     pub(super) fn new(own: HostId, settings: ClaimSettings) -> Self {
-        Self { own, settings, by_partition: Vec::new(), silent: HashMap::new() }
+        Self { own, settings, by_partition: Vec::new(), unresponsive_until_us: HashMap::new() }
     }
 
     pub(super) fn set_members(&mut self, members: &[HostId]) {
@@ -28,37 +29,38 @@
         self.by_partition = partitions.filter_map(|partition| owner(members, partition)).cloned().collect();
     }
 
-    /// The owner of a partition, if that is another daemon.
-    pub(super) fn other(&self, partition: u16) -> Option<&HostId> {
+    /// The owner of a partition; `None` if that is this daemon or no member is known.
+    pub(super) fn remote_owner(&self, partition: u16) -> Option<&HostId> {
         let owner = self.by_partition.get(usize::from(partition))?;
         (*owner != self.own).then_some(owner)
     }
 
-    /// The daemon to ask about a partition; none if this one is to claim through the log itself. An owner that
-    /// gave no answer of late is passed over. Membership takes a host for dead after ten seconds; until then
-    /// each claim of its partitions would wait for it first, and a launch entry miss its target.
-    pub(super) fn to_ask(&self, now_us: MonoTime, partition: u16) -> Option<&HostId> {
-        self.other(partition).filter(|owner| {
-            let silent_until_us = self.silent.get(*owner);
-            silent_until_us.is_none_or(|until_us| *until_us <= now_us)
+    /// The remote owner to ask about a partition; `None` if this daemon is to append the claim itself. An
+    /// owner that recently did not answer is bypassed: membership declares a host dead only after ten
+    /// seconds, and until then each claim of its partitions would wait for a timeout first, so that launch
+    /// entries would miss their target.
+    pub(super) fn owner_to_ask(&self, now_us: MonoTime, partition: u16) -> Option<&HostId> {
+        self.remote_owner(partition).filter(|owner| {
+            let until_us = self.unresponsive_until_us.get(*owner);
+            until_us.is_none_or(|until_us| *until_us <= now_us)
         })
     }
 
-    /// The owner of a partition gave no answer in time. Only the grouping of appends is lost by passing it over.
-    pub(super) fn note_silent(&mut self, now_us: MonoTime, partition: u16) {
-        if let Some(owner) = self.other(partition).cloned() {
-            self.silent.insert(owner, now_us + self.settings.silent_ms);
+    /// Bypasses the owner of a partition after a timeout. Only the grouping of appends is lost.
+    pub(super) fn mark_unresponsive(&mut self, now_us: MonoTime, partition: u16) {
+        if let Some(owner) = self.remote_owner(partition).cloned() {
+            self.unresponsive_until_us.insert(owner, now_us + self.settings.unresponsive_ms);
         }
     }
 
-    /// A daemon said that it stops. Other data centres learn that from membership some seconds later, and each claim
-    /// of its partitions would wait for it first.
-    pub(super) fn note_leaving(&mut self, now_us: MonoTime, host: &HostId) {
-        self.silent.insert(host.clone(), now_us + self.settings.leaving_ms);
+    /// Bypasses a daemon that announced its shutdown. Other data centres learn of it from membership some
+    /// seconds later, and until then each claim of its partitions would wait for a timeout first.
+    pub(super) fn mark_leaving(&mut self, now_us: MonoTime, host: &HostId) {
+        self.unresponsive_until_us.insert(host.clone(), now_us + self.settings.leaving_ms);
     }
 }
 
-/// The daemon that usually appends for a partition.
+/// The member that usually appends for a partition.
 fn owner(members: &[HostId], partition: u16) -> Option<&HostId> {
     owner_among(JobHash::of(&format!("claims/{partition}")), members)
 }
--- a/crates/core/src/claim/runs.rs
+++ b/crates/core/src/claim/runs.rs
@@ -1,38 +1,38 @@
-//! What this daemon remembers of the requests that it alone may run.
+//! State that this daemon retains of the requests that it alone may run.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-use super::answers::{AnswerMemory, StoredAnswer};
+use super::answers::{AnswerCache, StoredAnswer};
 use super::{BodyDigest, ClaimKey, ClaimSettings};
 use crate::ids::RequestId;
 use crate::units::{Millis, MonoTime};
 
 /// How a request that held its key ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum FinishedAs {
-    /// The server answered it; `None` when the answer was too large to keep or was streamed.
+pub enum RunOutcome {
+    /// The server answered; `None` if the response was too large to cache or was streamed.
     Answered(Option<Arc<StoredAnswer>>),
-    /// It is proven that it did not run, and it will not be tried again.
+    /// The request is proven not to have run and will not be retried.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// What a holder says of its request.
+/// State of the request that holds a key, as reported by its daemon.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub enum HeldState {
-    /// It is being run.
+pub enum HolderState {
+    /// The request is running.
     Running,
-    /// It was answered.
+    /// The request was answered with this response.
     Answered(Arc<StoredAnswer>),
-    /// It was answered, and the answer is no longer kept.
-    AnswerGone,
-    /// It did not run and never will; its key is being freed.
+    /// The request was answered, and its response was evicted from the cache.
+    AnswerEvicted,
+    /// The request did not run and never will; its key is being released.
     NotRun,
-    /// It may have run. Also said by a daemon that is not the one which took the request in.
+    /// The request may have run. Also reported by a daemon that did not receive the request.
     Unknown,
 }
 
@@ -52,14 +52,14 @@
     state: RunState,
 }
 
-/// The requests of this daemon that won their claim, or gave it up, for as long as their keys are held.
+/// This daemon's requests that won or abandoned their claim, retained for as long as their keys are held.
 #[derive(Debug)]
 pub(super) struct Runs {
     settings: ClaimSettings,
     by_request: HashMap<RequestId, Run>,
     by_key: HashMap<ClaimKey, RequestId>,
     by_age: VecDeque<RequestId>,
-    answers: AnswerMemory<RequestId>,
+    answers: AnswerCache<RequestId>,
 }
 
 impl Runs {
@@ -69,12 +69,12 @@
             by_request: HashMap::new(),
             by_key: HashMap::new(),
             by_age: VecDeque::new(),
-            answers: AnswerMemory::new(settings.answer_bytes, settings.answers_bytes),
+            answers: AnswerCache::new(settings.answer_bytes, settings.answers_bytes),
         }
     }
 
-    /// Whether one more request fits. A daemon that forgot a running request would call it unknown, which is
-    /// safe but tells the caller less than it could know.
+    /// Whether the limit of retained requests is reached. Dropping a running request would be safe, since it
+    /// is then reported as unknown, but would tell the caller less than the daemon could know.
     pub(super) fn is_full(&self) -> bool {
         self.by_request.len() >= self.settings.runs
     }
@@ -88,40 +88,41 @@
         self.by_request.insert(request, Run { key, digest, since_us: now_us, state });
     }
 
-    /// The state of one of this daemon's requests; what is not remembered may have run.
-    pub(super) fn state(&self, request: RequestId) -> HeldState {
+    /// The state of one of this daemon's requests; a request that is not retained may have run.
+    pub(super) fn state(&self, request: RequestId) -> HolderState {
         let Some(run) = self.by_request.get(&request) else {
-            return HeldState::Unknown;
+            return HolderState::Unknown;
         };
         match run.state {
-            RunState::Running => HeldState::Running,
-            RunState::NotRun => HeldState::NotRun,
-            RunState::Unknown => HeldState::Unknown,
+            RunState::Running => HolderState::Running,
+            RunState::NotRun => HolderState::NotRun,
+            RunState::Unknown => HolderState::Unknown,
             RunState::Answered => self
                 .answers
                 .get(&request)
-                .map_or(HeldState::AnswerGone, |answer| HeldState::Answered(Arc::clone(answer))),
+                .map_or(HolderState::AnswerEvicted, |answer| HolderState::Answered(Arc::clone(answer))),
         }
     }
 
-    /// The key of a request that did not run, if it is to be freed. An old one is left to expire: readers may
-    /// differ on whether its claim has expired, and a release could then free the key for a second one.
-    pub(super) fn freeable(&self, now_us: MonoTime, request: RequestId) -> Option<ClaimKey> {
+    /// The key to release if the request did not run. After half the retention it is left to expire instead:
+    /// readers may disagree on whether the claim has expired, and a release could then free the key of a
+    /// second claim.
+    pub(super) fn releasable_key(&self, now_us: MonoTime, request: RequestId) -> Option<ClaimKey> {
         let run = self.by_request.get(&request)?;
         let hold_ms = self.settings.hold_ms();
         let fresh = run.since_us + Millis(hold_ms.0 / 2) > now_us;
         (run.state == RunState::NotRun && fresh).then_some(run.key)
     }
 
-    /// The request of this daemon that holds `key`, with the digest of what it asked for.
+    /// This daemon's request that holds `key`, with the digest of its contents.
     pub(super) fn by_key(&self, key: &ClaimKey) -> Option<(RequestId, BodyDigest)> {
         let request = self.by_key.get(key)?;
         self.by_request.get(request).map(|run| (*request, run.digest))
     }
 
-    /// Writes down how a running request ended. Only the first end counts: a late one of a task that lost a
-    /// race must not turn an unknown outcome into another.
-    pub(super) fn finish(&mut self, request: RequestId, finished: FinishedAs) {
+    /// Records how a running request ended. Only the first result counts: a late report of a task that lost a
+    /// race must not replace an unknown outcome.
+    pub(super) fn finish(&mut self, request: RequestId, finished: RunOutcome) {
         let Some(run) = self.by_request.get_mut(&request) else {
             return;
         };
@@ -129,21 +130,21 @@
             return;
         }
         match finished {
-            FinishedAs::Answered(answer) => {
+            RunOutcome::Answered(answer) => {
                 run.state = RunState::Answered;
                 if let Some(answer) = answer {
-                    self.answers.keep(request, answer);
+                    self.answers.insert(request, answer);
                 }
             }
-            FinishedAs::Unknown => run.state = RunState::Unknown,
-            FinishedAs::NotRun => {
+            RunOutcome::Unknown => run.state = RunState::Unknown,
+            RunOutcome::NotRun => {
                 run.state = RunState::NotRun;
                 self.by_key.remove(&run.key);
             }
         }
     }
 
-    /// Forgets requests whose keys are no longer held. One that still runs is kept, however old.
+    /// Drops requests whose keys are no longer held. Running requests are retained regardless of age.
     pub(super) fn expire(&mut self, now_us: MonoTime) {
         let hold_ms = self.settings.hold_ms();
         for _ in 0..self.by_age.len() {
@@ -161,13 +162,13 @@
             if run.state == RunState::Running {
                 self.by_age.push_back(oldest);
             } else {
-                self.forget(oldest);
+                self.remove(oldest);
             }
         }
     }
 
-    fn forget(&mut self, request: RequestId) {
-        self.answers.forget(&request);
+    fn remove(&mut self, request: RequestId) {
+        self.answers.remove(&request);
         let Some(run) = self.by_request.remove(&request) else {
             return;
         };
@@ -177,7 +178,7 @@
     }
 }
 
-/// A request that is to be remembered.
+/// A request to retain.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct NewRun {
     pub(super) key: ClaimKey,
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -1,8 +1,8 @@
-//! Leases over the right to order engines about: one holder per data centre, kept on the log.
+//! Leases on the right to send orders to engines: one holder per data centre, recorded in the log.
 //!
-//! A record names the lease record that it follows, so that of two that follow the same one the first in the
-//! log's order counts and the other does not. No clock of two hosts is compared: the holder counts its time
-//! from before it appended, a successor from when it read the record, which is later.
+//! A record names the lease record that it follows; of two records that follow the same one, the first in log
+//! order is valid and the other is ignored. Clocks of different hosts are never compared: the holder measures
+//! its lease from before it appended the record, a successor from when it read the record, which is later.
 
 use std::collections::HashMap;
 
@@ -11,18 +11,18 @@
 use crate::ids::{DataCentreId, FencingNumber, HostId, Incarnation, Offset};
 use crate::units::{Millis, MonoTime};
 
-/// Bounds of leases.
+/// Durations of leases and orders.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseSettings {
-    /// How long a record gives the lease for.
+    /// Duration of the lease that a record grants.
     pub lease_ms: Millis,
-    /// How long before its end the holder renews it.
+    /// Time before the end of the lease at which the holder renews it.
     pub renew_before_ms: Millis,
-    /// The longest an order may be valid for.
+    /// Maximum validity of an order.
     pub longest_order_ms: Millis,
-    /// What two hosts' clocks may gain on each other over a lease and an order.
+    /// Maximum drift between two hosts' clocks over the duration of a lease and an order.
     pub drift_ms: Millis,
-    /// Wait before an append that failed is tried again.
+    /// Delay before a failed append is repeated.
     pub retry_ms: Millis,
 }
 
@@ -39,58 +39,59 @@
 }
 
 impl LeaseSettings {
-    /// How long a successor waits after reading a lease's last record. The holder may order until the lease
-    /// ends, and its last order may still arrive at the engine until that order expires.
+    /// How long a successor waits after reading a lease's last record. The holder may send orders until the
+    /// lease ends, and its last order may still arrive at an engine until that order expires.
     pub fn takeover_ms(&self) -> Millis {
         self.lease_ms + self.last_order_ms()
     }
 
-    /// How long a successor waits after a lease was given up: its last order may still be on its way.
+    /// How long a successor waits after a lease was released: the holder's last order may still be on its
+    /// way.
     pub fn last_order_ms(&self) -> Millis {
         self.longest_order_ms + self.drift_ms
     }
 }
 
-/// A daemon's life as a holder of leases.
+/// Daemon incarnation that holds or requests a lease.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, Deserialize, Serialize)]
 pub struct LeaseHolder {
-    /// The host.
+    /// Host of the daemon.
     pub host: HostId,
-    /// The life.
+    /// Incarnation of the daemon.
     pub incarnation: Incarnation,
 }
 
-/// One record of the lease stream.
+/// Record of the lease stream.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, Deserialize, Serialize)]
 pub struct LeaseRecord {
-    /// The data centre whose engines may be ordered about.
+    /// Data centre whose engines the holder may send orders to.
     pub data_centre: DataCentreId,
-    /// Who takes or renews the lease.
+    /// Daemon that acquires, renews or releases the lease.
     pub holder: LeaseHolder,
-    /// Offset of the record that this one follows; `None` when the writer has seen none.
-    pub follows: Option<Offset>,
-    /// Counter over the appends of this holder. An earlier append that was given up for lost can land late;
-    /// the holder must not count its time from a later one.
+    /// Offset of the valid lease record before this one; `None` if the writer has seen none.
+    pub previous: Option<Offset>,
+    /// Counter over the holder's appends. An append that was assumed lost can arrive late, and the holder
+    /// must not measure its lease from a later one.
     pub attempt: u64,
-    /// Whether the holder gives it up.
-    pub gives_up: bool,
+    /// Whether the record releases the lease.
+    pub released: bool,
 }
 
 #[derive(Clone, Debug)]
-struct Standing {
+struct LeaseState {
     holder: LeaseHolder,
     fencing: FencingNumber,
     last: Offset,
-    given_up: bool,
+    released: bool,
     attempt: u64,
     read_us: MonoTime,
 }
 
-/// The leases as the log's order gives them, at one reader.
+/// Leases as recorded in the log, as seen by one reader.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseFold {
     next: Offset,
-    standing: HashMap<DataCentreId, Standing>,
+    leases: HashMap<DataCentreId, LeaseState>,
 }
 
 impl LeaseFold {
@@ -99,192 +100,195 @@
         self.next
     }
 
-    /// Starts at the oldest record that the log keeps. Holders renew every few seconds, so a lease without a
-    /// kept record has ended long ago; its readers have no record to follow either.
+    /// Skips to the oldest record that the log keeps. Holders renew every few seconds, so a lease without a
+    /// remaining record ended long ago; other readers have no record to follow either.
     pub fn skip_to(&mut self, start: Offset) {
         self.next = self.next.max(start);
     }
 
-    /// Takes the record at `offset`, read at `now_us`. Records that are out of order are passed over.
+    /// Applies the record at `offset`, read at `now_us`. Records before the expected offset are ignored.
     pub fn apply(&mut self, now_us: MonoTime, offset: Offset, record: Option<&LeaseRecord>) {
         if offset < self.next {
             return;
         }
         self.next = offset.next();
         let Some(record) = record else { return };
-        let standing = self.standing.get(&record.data_centre);
-        if standing.map(|standing| standing.last) != record.follows {
+        let current = self.leases.get(&record.data_centre);
+        if current.map(|current| current.last) != record.previous {
             return;
         }
-        // A holder keeps its fencing number over renewals; whoever takes the lease over gets a greater one.
-        let renewed = standing.filter(|standing| standing.holder == record.holder && !standing.given_up);
-        let fencing = renewed.map_or(FencingNumber(offset.0), |standing| standing.fencing);
-        self.standing.insert(
+        // A renewal keeps the fencing number; a new holder gets a greater one.
+        let renewed = current.filter(|current| current.holder == record.holder && !current.released);
+        let fencing = renewed.map_or(FencingNumber(offset.0), |current| current.fencing);
+        self.leases.insert(
             record.data_centre.clone(),
-            Standing {
+            LeaseState {
                 holder: record.holder.clone(),
                 fencing,
                 last: offset,
-                given_up: record.gives_up,
+                released: record.released,
                 attempt: record.attempt,
                 read_us: now_us,
             },
         );
     }
 
-    /// The last record of a lease that counted.
+    /// Offset of the last valid record of a lease.
     pub fn last(&self, data_centre: &DataCentreId) -> Option<Offset> {
-        self.standing.get(data_centre).map(|standing| standing.last)
+        self.leases.get(data_centre).map(|current| current.last)
     }
 
-    /// The fencing number under which `holder` stands as the holder. It says nothing of whether the lease has
-    /// ended: only the holder's own clock does.
+    /// Fencing number of `holder`, if it is the recorded holder. Whether the lease has ended can only be told
+    /// by the holder's own clock.
     pub fn fencing(&self, data_centre: &DataCentreId, holder: &LeaseHolder) -> Option<FencingNumber> {
-        let standing = self.standing.get(data_centre)?;
-        (standing.holder == *holder && !standing.given_up).then_some(standing.fencing)
+        let current = self.leases.get(data_centre)?;
+        (current.holder == *holder && !current.released).then_some(current.fencing)
     }
 
-    /// The holder's own count of the last record that counted.
+    /// The holder's append counter in the last valid record.
     fn attempt(&self, data_centre: &DataCentreId) -> Option<u64> {
-        self.standing.get(data_centre).map(|standing| standing.attempt)
+        self.leases.get(data_centre).map(|current| current.attempt)
     }
 
-    /// Whether the lease may be taken over by `candidate`: nobody holds it, or the reader has seen no
-    /// record for as long as an order of its holder could still arrive.
-    pub fn may_take(
+    /// Whether `candidate` may acquire the lease: it holds the lease already, nobody does, or the reader has
+    /// seen no record for as long as an order of the holder could still arrive.
+    pub fn may_acquire(
         &self,
         now_us: MonoTime,
         settings: &LeaseSettings,
         data_centre: &DataCentreId,
         candidate: &LeaseHolder,
     ) -> bool {
-        let Some(standing) = self.standing.get(data_centre) else {
+        let Some(current) = self.leases.get(data_centre) else {
             return true;
         };
-        let wait_ms = if standing.given_up { settings.last_order_ms() } else { settings.takeover_ms() };
-        standing.holder == *candidate || standing.read_us + wait_ms <= now_us
+        let wait_ms = if current.released { settings.last_order_ms() } else { settings.takeover_ms() };
+        current.holder == *candidate || current.read_us + wait_ms <= now_us
     }
 }
 
-/// A lease as its holder may use it.
+/// A lease that is held, as its holder may use it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct HeldLease {
-    /// Orders the holders.
+    /// Fencing number, which increases with each new holder.
     pub fencing: FencingNumber,
-    /// End of the lease on the holder's clock.
+    /// End of the lease by the holder's clock.
     pub until_us: MonoTime,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Sending {
+enum AppendState {
     Idle,
-    UnderWay {
+    InFlight {
         sent_us: MonoTime,
     },
-    /// The log may hold it: the fold tells once it has passed the end of the stream.
+    /// The log may contain the record; known once the fold has read the stream to its end.
     Unconfirmed {
         sent_us: MonoTime,
     },
 }
 
-/// One daemon's use of one lease.
+/// State of one daemon for one lease.
 #[derive(Clone, Debug)]
 pub struct Lease {
     settings: LeaseSettings,
     data_centre: DataCentreId,
-    me: LeaseHolder,
+    own_identity: LeaseHolder,
     held: Option<HeldLease>,
-    sending: Sending,
+    append: AppendState,
     retry_at_us: MonoTime,
     attempt: u64,
 }
 
 impl Lease {
-    /// A lease that `me` does not hold.
-    pub fn new(settings: LeaseSettings, data_centre: DataCentreId, me: LeaseHolder) -> Self {
+    /// Creates the state of a lease that `own_identity` does not hold.
+    pub fn new(settings: LeaseSettings, data_centre: DataCentreId, own_identity: LeaseHolder) -> Self {
         Self {
             settings,
             data_centre,
-            me,
+            own_identity,
             held: None,
-            sending: Sending::Idle,
+            append: AppendState::Idle,
             retry_at_us: MonoTime::default(),
             attempt: 0,
         }
     }
 
-    /// The same lease, not held: a receiver has seen a later holder, so this one's number is worth nothing any more.
+    /// The same lease, not held, for when a receiver has seen a later holder, so that this one's fencing
+    /// number is obsolete.
     #[must_use]
-    pub fn fresh(&self) -> Self {
-        Self { held: None, sending: Sending::Idle, ..self.clone() }
+    pub fn without_lease(&self) -> Self {
+        Self { held: None, append: AppendState::Idle, ..self.clone() }
     }
 
-    /// The lease, if it is held now. The clock is looked at here, so that a holder that was paused past its
-    /// lease sees that it has lost it before it orders anything.
+    /// The lease, if it is held at `now_us`. Checking the clock here lets a holder that was paused past the
+    /// end of its lease notice the loss before it sends an order.
     pub fn held(&self, now_us: MonoTime) -> Option<HeldLease> {
         self.held.filter(|held| now_us < held.until_us)
     }
 
-    /// The record to append now, if any: to take the lease, or to renew it in time. The fold must have read
-    /// the stream to its end. An append whose end could not be read back when it was made, because the log had
-    /// gone down, is settled first: it would keep this daemon from the lease for ever.
-    pub fn want(&mut self, now_us: MonoTime, fold: &LeaseFold) -> Option<LeaseRecord> {
+    /// The record to append now to acquire or renew the lease, if any. The fold must have read the stream to
+    /// its end. An append that could not be read back earlier, because the log went down, is resolved first:
+    /// otherwise it would block this daemon from the lease forever.
+    pub fn next_record(&mut self, now_us: MonoTime, fold: &LeaseFold) -> Option<LeaseRecord> {
         self.read_back(now_us, fold);
-        if self.sending != Sending::Idle || now_us < self.retry_at_us {
+        if self.append != AppendState::Idle || now_us < self.retry_at_us {
             return None;
         }
         if let Some(held) = self.held(now_us) {
             if now_us + self.settings.renew_before_ms < held.until_us {
                 return None;
             }
-        } else if !fold.may_take(now_us, &self.settings, &self.data_centre, &self.me) {
+        } else if !fold.may_acquire(now_us, &self.settings, &self.data_centre, &self.own_identity) {
             return None;
         }
-        self.sending = Sending::UnderWay { sent_us: now_us };
+        self.append = AppendState::InFlight { sent_us: now_us };
         Some(self.record(fold, false))
     }
 
-    /// The record that gives the lease up, when the daemon stops. The lease is not used from here on.
-    pub fn give_up(&mut self, now_us: MonoTime, fold: &LeaseFold) -> Option<LeaseRecord> {
+    /// The record that releases the lease when the daemon stops, if it is held. The lease is not used
+    /// afterwards.
+    pub fn release(&mut self, now_us: MonoTime, fold: &LeaseFold) -> Option<LeaseRecord> {
         self.held(now_us)?;
         self.held = None;
         Some(self.record(fold, true))
     }
 
-    fn record(&mut self, fold: &LeaseFold, gives_up: bool) -> LeaseRecord {
+    fn record(&mut self, fold: &LeaseFold, released: bool) -> LeaseRecord {
         self.attempt += 1;
         LeaseRecord {
             data_centre: self.data_centre.clone(),
-            holder: self.me.clone(),
-            follows: fold.last(&self.data_centre),
+            holder: self.own_identity.clone(),
+            previous: fold.last(&self.data_centre),
             attempt: self.attempt,
-            gives_up,
+            released,
         }
     }
 
-    /// The append ended without effect.
-    pub fn not_appended(&mut self, now_us: MonoTime) {
-        self.sending = Sending::Idle;
+    /// Handles an append that had no effect.
+    pub fn append_failed(&mut self, now_us: MonoTime) {
+        self.append = AppendState::Idle;
         self.retry_at_us = now_us + self.settings.retry_ms;
     }
 
-    /// The append stands, or may stand: the fold decides.
-    pub fn maybe_appended(&mut self) {
-        if let Sending::UnderWay { sent_us } = self.sending {
-            self.sending = Sending::Unconfirmed { sent_us };
+    /// Handles an append that succeeded or may have: the fold decides.
+    pub fn append_unconfirmed(&mut self) {
+        if let AppendState::InFlight { sent_us } = self.append {
+            self.append = AppendState::Unconfirmed { sent_us };
         }
     }
 
-    /// The fold has read the stream to an end that was asked for after the append ended. The lease runs from
-    /// before the append was sent, however late its record is read.
+    /// Resolves an unconfirmed append, once the fold has read the stream to an end that was requested after
+    /// the append ended. The lease is measured from before the append was sent, however late its record is
+    /// read.
     pub fn read_back(&mut self, now_us: MonoTime, fold: &LeaseFold) {
-        let Sending::Unconfirmed { sent_us } = self.sending else {
+        let AppendState::Unconfirmed { sent_us } = self.append else {
             return;
         };
-        self.sending = Sending::Idle;
+        self.append = AppendState::Idle;
         self.retry_at_us = now_us + self.settings.retry_ms;
         let counted = fold.attempt(&self.data_centre) == Some(self.attempt);
-        let fencing = fold.fencing(&self.data_centre, &self.me);
+        let fencing = fold.fencing(&self.data_centre, &self.own_identity);
         self.held = match fencing {
             Some(fencing) if counted => {
                 Some(HeldLease { fencing, until_us: sent_us + self.settings.lease_ms })
--- a/crates/core/src/meter.rs
+++ b/crates/core/src/meter.rs
@@ -1,8 +1,9 @@
-//! What control costs on this host: processor time, memory and bytes sent, against the budget.
+//! Resource usage of the control plane on this host (processor time, memory, bytes sent), compared with its
+//! budget.
 
 use crate::units::{Bytes, BytesPerSecond, Micros, MonoTime};
 
-/// Millionths of one core.
+/// Share of processor time, in millionths of one core.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd, serde::Deserialize, serde::Serialize,
 )]
@@ -14,14 +15,14 @@
     }
 }
 
-/// What control may cost on one host.
+/// Resource budget of the control plane on one host.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ControlBudget {
     /// Processor time.
     pub core_share: CoreShare,
-    /// Memory.
+    /// Memory of the process that is attributed to control.
     pub memory_bytes: Bytes,
-    /// Bytes sent to other daemons.
+    /// Rate of bytes sent to other daemons for control.
     pub sent_bytes_per_s: BytesPerSecond,
 }
 
@@ -35,30 +36,30 @@
     }
 }
 
-/// Totals since the start of the process, as read at one moment.
+/// Totals since the start of the process.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ControlTotals {
     /// Processor time of the control threads.
     pub cpu_us: Micros,
-    /// Memory of the process that control accounts for.
+    /// Memory of the process that is attributed to control, at the time of reading.
     pub memory_bytes: Bytes,
-    /// Bytes sent to other daemons for control; what requests cause is counted apart.
+    /// Bytes sent to other daemons for control; bytes sent on behalf of requests are counted separately.
     pub sent_bytes: Bytes,
 }
 
-/// What control costs at present.
+/// Current resource usage of the control plane.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
 pub struct ControlUsage {
-    /// Processor time over the window.
+    /// Average processor time over the window.
     pub core_share: CoreShare,
     /// Memory at the end of the window.
     pub memory_bytes: Bytes,
-    /// Bytes sent over the window.
+    /// Average rate of bytes sent over the window.
     pub sent_bytes_per_s: BytesPerSecond,
 }
 
 impl ControlUsage {
-    /// Whether any part is above `budget`.
+    /// Whether any resource exceeds `budget`.
     pub fn is_over(&self, budget: &ControlBudget) -> bool {
         self.core_share > budget.core_share
             || self.memory_bytes > budget.memory_bytes
@@ -66,7 +67,7 @@
     }
 }
 
-/// Turns totals into rates.
+/// Computes usage rates from totals.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ControlMeter {
     last: Option<(MonoTime, ControlTotals)>,
@@ -81,7 +82,7 @@
 }
 
 impl ControlMeter {
-    /// Takes totals in and returns the usage since those before.
+    /// Adds a sample of totals and returns the usage since the previous sample.
     pub fn sample(&mut self, now_us: MonoTime, totals: ControlTotals) -> ControlUsage {
         if let Some((last_us, last)) = self.last {
             let span_us = now_us.since(last_us);
@@ -101,7 +102,7 @@
         self.usage
     }
 
-    /// The usage as last sampled.
+    /// Usage as of the last sample.
     pub fn usage(&self) -> ControlUsage {
         self.usage
     }
--- a/crates/core/src/order.rs
+++ b/crates/core/src/order.rs
@@ -1,112 +1,115 @@
-//! Orders to engines: what a lease's holder may send, and what it may conclude from the answers.
+//! Orders to engines: what the holder of a lease may send, and what it may conclude from the replies.
 
 use crate::ids::{FencingNumber, ModelId, RequestId};
 use crate::lease::{HeldLease, LeaseSettings};
 use crate::units::{Millis, MonoTime};
 
-/// What an engine is told to do.
+/// Operation that an engine is ordered to perform.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OrderKind {
     /// Load a model.
     Load(ModelId),
     /// Unload a model.
     Unload(ModelId),
-    /// Read prompts.
+    /// Switch to the prefill role.
     BecomePrefill,
-    /// Write tokens.
+    /// Switch to the decode role.
     BecomeDecode,
 }
 
-/// One order as it is sent.
+/// An order as sent to an engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Order {
-    /// Names the order over all its tries: engines carry one id out once.
+    /// Id of the order, the same for all attempts: engines execute an id once.
     pub id: RequestId,
-    /// Engines that check refuse a number older than the last one they saw.
+    /// Fencing number; engines that check it refuse one older than the latest they have seen.
     pub fencing: FencingNumber,
-    /// Engines drop an order that arrives later than this after it was sent.
+    /// Validity from sending; engines drop an order that arrives later.
     pub expires_in_ms: Millis,
-    /// What to do.
+    /// Operation to perform.
     pub kind: OrderKind,
 }
 
-/// How a try to send an order ended.
+/// Result of one attempt to send an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum OrderEnd {
-    /// The engine carried it out.
+pub enum OrderOutcome {
+    /// The engine executed the order.
     Applied,
-    /// The engine has seen a newer holder.
+    /// The engine refused the order because it has seen a newer holder.
     Fenced,
-    /// It arrived too late, and was not carried out.
+    /// The order arrived after its expiry and was not executed.
     Expired,
-    /// No answer: it may have been carried out, or may yet be until it expires.
+    /// No reply: the order may have been executed, or may still be until it expires.
     Lost,
 }
 
-/// An order that is not allowed.
+/// Reason for which an order may not be sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum OrderRefusal {
-    /// The lease is not held, or has ended while the process was paused.
+    /// The lease is not held, or ended while the process was paused.
     #[error("the lease is not held")]
     NoLease,
-    /// The number of orders under way is at its bound.
-    #[error("too many orders are under way")]
+    /// The limit of concurrent orders is reached.
+    #[error("too many orders in flight")]
     Busy,
 }
 
-/// What is known of an order.
+/// State of an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderState {
-    /// It is to be sent, or sent again under the same id.
+    /// The order is to be sent, or sent again with the same id.
     Send,
-    /// Its answer is awaited.
-    UnderWay,
-    /// The engine carried it out.
+    /// The reply is pending.
+    InFlight,
+    /// The engine executed the order.
     Done,
-    /// It was not carried out, and will not be.
+    /// The order was not executed and will not be.
     Failed,
-    /// It may have been carried out: the engine's state is read back before anything follows from it.
-    ReadBack,
+    /// The order may have been executed: the engine's state must be read back before anything else is
+    /// concluded.
+    NeedsReadBack,
 }
 
-/// One order through its tries.
+/// An order with its attempts.
 #[derive(Clone, Debug)]
 pub struct PendingOrder {
     id: RequestId,
     kind: OrderKind,
     state: OrderState,
     fencing: Option<FencingNumber>,
-    tries_left: u32,
-    /// A try may have been carried out though its answer was lost.
+    attempts_left: u32,
+    /// Whether an attempt may have been executed although its reply was lost.
     lost: bool,
 }
 
-/// Tries of one order. The weight store is rate-limited, so an engine that does not answer is left alone soon.
-pub const ORDER_TRIES: u32 = 3;
+/// Maximum number of attempts per order. Low: the weight store is rate-limited, so an engine that does not reply is soon
+/// given up.
+pub const ORDER_ATTEMPTS: u32 = 3;
 
 impl PendingOrder {
-    /// An order that was not sent yet.
+    /// Creates an order that has not been sent.
     pub fn new(id: RequestId, kind: OrderKind) -> Self {
-        Self { id, kind, state: OrderState::Send, fencing: None, tries_left: ORDER_TRIES, lost: false }
+        Self { id, kind, state: OrderState::Send, fencing: None, attempts_left: ORDER_ATTEMPTS, lost: false }
     }
 
-    /// What is known of it.
+    /// State of the order.
     pub fn state(&self) -> OrderState {
         self.state
     }
 
-    /// What it says.
+    /// Operation of the order.
     pub fn kind(&self) -> &OrderKind {
         &self.kind
     }
 
-    /// The order to put on the wire right now. The lease is asked for at this moment and not when the order was
-    /// decided: in between the process may have been paused, and for engines that ignore the fencing number
-    /// this look at the clock, and the expiry, are all that stops an old holder.
+    /// The order to send right now. The lease is checked at this moment and not when the order was decided,
+    /// because the process may have been paused in between. For engines that ignore the fencing number, this
+    /// check of the clock and the expiry are all that stops an old holder.
     ///
     /// # Errors
     ///
-    /// [`OrderRefusal::NoLease`].
+    /// [`OrderRefusal::NoLease`] if the lease is not held, or was lost and acquired again since the first
+    /// attempt.
     pub fn send(
         &mut self,
         now_us: MonoTime,
@@ -114,14 +117,15 @@
         lease: Option<HeldLease>,
     ) -> Result<Order, OrderRefusal> {
         let held = lease.filter(|lease| now_us < lease.until_us).ok_or(OrderRefusal::NoLease)?;
-        // The same id under another number could be one order to an engine that forgot it, and two holders.
+        // The same id with another fencing number could be executed twice by an engine that has forgotten the
+        // id, under two holders.
         if self.fencing.is_some_and(|fencing| fencing != held.fencing) {
-            self.state = OrderState::ReadBack;
+            self.state = OrderState::NeedsReadBack;
             return Err(OrderRefusal::NoLease);
         }
         self.fencing = Some(held.fencing);
-        self.state = OrderState::UnderWay;
-        self.tries_left = self.tries_left.saturating_sub(1);
+        self.state = OrderState::InFlight;
+        self.attempts_left = self.attempts_left.saturating_sub(1);
         Ok(Order {
             id: self.id,
             fencing: held.fencing,
@@ -130,36 +134,36 @@
         })
     }
 
-    /// A try ended. An answer that was lost is asked for again under the same id.
-    pub fn end(&mut self, end: OrderEnd) {
-        if self.state != OrderState::UnderWay {
+    /// Records the result of an attempt. After a lost reply the order is sent again with the same id.
+    pub fn end(&mut self, outcome: OrderOutcome) {
+        if self.state != OrderState::InFlight {
             return;
         }
-        self.lost |= end == OrderEnd::Lost;
-        self.state = match end {
-            OrderEnd::Applied => OrderState::Done,
-            OrderEnd::Lost if self.tries_left > 0 => OrderState::Send,
-            _ if self.lost => OrderState::ReadBack,
-            OrderEnd::Lost | OrderEnd::Fenced | OrderEnd::Expired => OrderState::Failed,
+        self.lost |= outcome == OrderOutcome::Lost;
+        self.state = match outcome {
+            OrderOutcome::Applied => OrderState::Done,
+            OrderOutcome::Lost if self.attempts_left > 0 => OrderState::Send,
+            _ if self.lost => OrderState::NeedsReadBack,
+            OrderOutcome::Lost | OrderOutcome::Fenced | OrderOutcome::Expired => OrderState::Failed,
         };
     }
 }
 
-/// Loads that may run at once: the weight store serves all engines at one rate, and loads that share it all end
-/// late, while each takes its engine out of service until it ends.
+/// Limit of concurrent model loads: the weight store serves all engines at one total rate, so loads that
+/// share it all finish late, while each takes its engine out of service until it finishes.
 #[derive(Clone, Copy, Debug)]
-pub struct LoadBudget {
-    /// Loads under way at most.
+pub struct LoadLimit {
+    /// Maximum number of concurrent loads.
     pub limit: usize,
 }
 
-impl LoadBudget {
-    /// Whether one more load may begin.
+impl LoadLimit {
+    /// Checks whether one more load may start.
     ///
     /// # Errors
     ///
-    /// [`OrderRefusal::Busy`].
-    pub fn admit(&self, under_way: usize) -> Result<(), OrderRefusal> {
-        if under_way < self.limit { Ok(()) } else { Err(OrderRefusal::Busy) }
+    /// [`OrderRefusal::Busy`] if the limit is reached.
+    pub fn admit(&self, in_flight: usize) -> Result<(), OrderRefusal> {
+        if in_flight < self.limit { Ok(()) } else { Err(OrderRefusal::Busy) }
     }
 }
--- a/crates/core/src/orphan.rs
+++ b/crates/core/src/orphan.rs
@@ -1,17 +1,17 @@
-//! Engine memory that nobody waits for: releases that are repeated until the engine confirms them, and what
-//! daemons that died left behind.
+//! Release of engine memory that no request waits for: releases that are repeated until the engine confirms
+//! them, and memory left behind by daemons that died.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ids::{BackendServerId, HostId, Incarnation};
 use crate::units::{Millis, MonoTime};
 
-/// Bounds of releasing.
+/// Retry delays of releases.
 #[derive(Clone, Copy, Debug)]
 pub struct ReleaseSettings {
-    /// Wait before the second try; doubled for each further one.
+    /// Delay before the first retry; doubled for each further one.
     pub first_retry_ms: Millis,
-    /// Longest wait between tries. An engine that comes back is asked again within it.
+    /// Maximum delay between retries; an engine that recovers is asked again within it.
     pub longest_retry_ms: Millis,
 }
 
@@ -22,36 +22,36 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Try {
+struct RetryState {
     at_us: MonoTime,
     wait_ms: Millis,
 }
 
-/// Releases that engines have not confirmed. A release is a message like any other and can be lost; one that
-/// is not repeated would hold a decode slot, of about twenty, until the engine restarts. `Item` names what is
-/// held: one attempt, or all that a daemon's life holds.
+/// Releases that engines have not confirmed. A release message can be lost, and without a retry it would
+/// occupy one of an engine's about twenty decode slots until the engine restarts. `Item` identifies what is
+/// held: one attempt, or all memory of a daemon incarnation.
 #[derive(Debug)]
 pub struct PendingReleases<Item> {
     settings: ReleaseSettings,
-    pending: BTreeMap<BackendServerId, BTreeMap<Item, Try>>,
+    pending: BTreeMap<BackendServerId, BTreeMap<Item, RetryState>>,
 }
 
 impl<Item> PendingReleases<Item>
 where
     Item: Clone + Ord,
 {
-    /// Nothing to release yet.
+    /// Creates an empty set of releases.
     pub fn new(settings: ReleaseSettings) -> Self {
         Self { settings, pending: BTreeMap::new() }
     }
 
-    /// Wants `item` released at `server`; the first try is due now.
-    pub fn want(&mut self, now_us: MonoTime, server: &BackendServerId, item: Item) {
-        let first = Try { at_us: now_us, wait_ms: self.settings.first_retry_ms };
+    /// Requests the release of `item` at `server`; the first message is due immediately.
+    pub fn request(&mut self, now_us: MonoTime, server: &BackendServerId, item: Item) {
+        let first = RetryState { at_us: now_us, wait_ms: self.settings.first_retry_ms };
         self.pending.entry(server.clone()).or_default().entry(item).or_insert(first);
     }
 
-    /// The releases to send now. Each comes again, later and later, until it is confirmed.
+    /// The releases to send now. Each is repeated with growing delays until it is confirmed.
     pub fn due(&mut self, now_us: MonoTime) -> Vec<DueRelease<Item>> {
         let longest_ms = self.settings.longest_retry_ms;
         let mut due = Vec::new();
@@ -65,7 +65,7 @@
         due
     }
 
-    /// The engine answered that it holds nothing of `item` any more.
+    /// Handles the engine's confirmation that it holds nothing of `item` any more.
     pub fn confirmed(&mut self, server: &BackendServerId, item: &Item) {
         if let Some(items) = self.pending.get_mut(server) {
             items.remove(item);
@@ -75,12 +75,12 @@
         }
     }
 
-    /// The engine is no longer listed: its memory went with it.
-    pub fn server_gone(&mut self, server: &BackendServerId) {
+    /// Drops the releases of an engine that is no longer listed, whose memory is gone with it.
+    pub fn remove_server(&mut self, server: &BackendServerId) {
         self.pending.remove(server);
     }
 
-    /// How many releases are not confirmed.
+    /// Number of unconfirmed releases.
     pub fn len(&self) -> usize {
         self.pending.values().map(BTreeMap::len).sum()
     }
@@ -94,76 +94,79 @@
 /// A release to send.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct DueRelease<Item> {
-    /// The engine.
+    /// Engine that holds the memory.
     pub server: BackendServerId,
-    /// What it is to let go.
+    /// What the engine is to release.
     pub item: Item,
 }
 
-/// A daemon's life, as engines know the owner of what they hold.
+/// Daemon incarnation that owns memory at an engine.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct MemoryOwner {
-    /// The host.
+    /// Host of the daemon.
     pub host: HostId,
-    /// The life.
+    /// Incarnation of the daemon.
     pub incarnation: Incarnation,
 }
 
-/// What the watcher of an engine knows of an owner.
+/// State of an owner, as known to the engine's watcher.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OwnerState {
-    /// It is heard from.
+    /// The daemon is alive according to membership.
     Live,
-    /// A later life of the same host was seen. A host runs one daemon, so this is proof of death.
+    /// A later incarnation on the same host was seen. A host runs one daemon, so this proves that the owner
+    /// died.
     Replaced,
-    /// It has not been heard from for longer than membership waits. It died, or it is cut off.
+    /// Nothing was received from the daemon for longer than membership waits. It died or is cut off.
     Silent,
 }
 
-/// How long owners that may be dead are given.
+/// Grace periods of owners that may be dead.
 #[derive(Clone, Copy, Debug)]
 pub struct OrphanSettings {
-    /// While the engine has free slots: the longest that a cut between data centres usually lasts. Cancelling a
-    /// daemon that is merely cut off costs its callers a second prefill, and idle memory costs nothing.
-    pub patience_ms: Millis,
-    /// While the engine is full: what a dead daemon holds is refused to the living.
-    pub full_patience_ms: Millis,
+    /// Grace period while the engine has free slots: the longest usual duration of a network partition
+    /// between data centres. Cancelling a daemon that is only cut off costs its callers a second prefill, and
+    /// idle memory costs nothing.
+    pub grace_ms: Millis,
+    /// Grace period while the engine is full, when memory of a dead daemon is refused to live ones.
+    pub full_grace_ms: Millis,
 }
 
 impl Default for OrphanSettings {
     fn default() -> Self {
-        Self { patience_ms: Millis(120_000), full_patience_ms: Millis(10_000) }
+        Self { grace_ms: Millis(120_000), full_grace_ms: Millis(10_000) }
     }
 }
 
-/// Decides at the watcher of one engine which owners' memory is to be released.
+/// Determines, at the watcher of one engine, the owners whose memory is to be released.
 #[derive(Debug)]
-pub struct OrphanWatch {
+pub struct OrphanDetector {
     settings: OrphanSettings,
     silent_since: BTreeMap<MemoryOwner, MonoTime>,
 }
 
-impl OrphanWatch {
-    /// A watch that has seen nothing.
+impl OrphanDetector {
+    /// Creates a detector without observations.
     pub fn new(settings: OrphanSettings) -> Self {
         Self { settings, silent_since: BTreeMap::new() }
     }
 
-    /// The owners to cancel, from one load report. `owners` are those that hold memory by that report, with
-    /// what is known of them; `full` says that the engine has no free slot.
+    /// The owners whose memory is to be released, from one load report. `owners` are those that hold memory
+    /// according to the report; `full` states that the engine has no free slot.
     ///
-    /// Death is proven only by a later life of the same host. A silent owner may be cut off from here and still
-    /// be reading its streams; it is given time, less of it when the engine is full. The mistake breaks those
-    /// streams, which resume elsewhere by prefilling again; it runs nothing twice, for a request that may not
-    /// be repeated is bound by its claim and not by its memory.
+    /// Only a later incarnation on the same host proves that an owner died. A silent owner may be cut off
+    /// from this daemon and still read its streams, so it gets a grace period, a shorter one if the engine is
+    /// full. A wrong decision breaks those streams, which resume elsewhere after another prefill; it runs
+    /// nothing twice, because requests that must not be repeated are bound by their claim and not by engine
+    /// memory.
     pub fn orphans<Owners>(&mut self, now_us: MonoTime, full: bool, owners: Owners) -> Vec<MemoryOwner>
     where
-        Owners: IntoIterator<Item = SeenOwner>,
+        Owners: IntoIterator<Item = ReportedOwner>,
     {
-        let patience_ms = if full { self.settings.full_patience_ms } else { self.settings.patience_ms };
+        let grace_ms = if full { self.settings.full_grace_ms } else { self.settings.grace_ms };
         let mut orphans = BTreeSet::new();
         let mut silent = BTreeMap::new();
-        for SeenOwner { owner, state } in owners {
+        for ReportedOwner { owner, state } in owners {
             match state {
                 OwnerState::Live => {}
                 OwnerState::Replaced => {
@@ -172,7 +175,7 @@
                 OwnerState::Silent => {
                     let since_us = self.silent_since.get(&owner).copied().unwrap_or(now_us);
                     silent.insert(owner.clone(), since_us);
-                    if since_us + patience_ms <= now_us {
+                    if since_us + grace_ms <= now_us {
                         orphans.insert(owner);
                     }
                 }
@@ -183,11 +186,11 @@
     }
 }
 
-/// An owner of memory in a load report.
+/// Owner of memory in a load report.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct SeenOwner {
-    /// The owner.
+pub struct ReportedOwner {
+    /// The daemon incarnation.
     pub owner: MemoryOwner,
-    /// What is known of it.
+    /// State of the daemon.
     pub state: OwnerState,
 }
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,26 +1,27 @@
-//! The outcome of a request, and when each may be said.
+//! Outcome of a request, and the conditions under which each outcome may be reported.
 //!
-//! There are three outcomes and no fourth. "Not run" is a promise: callers repeat a booking on it. So it is
-//! said only on proof over all attempts, and whatever may have reached a server is unknown until it answers.
+//! There are exactly three outcomes. Callers repeat a booking when told "not run", so it is reported only
+//! when it is proven for all attempts; whatever may have reached a server is unknown until the server
+//! answers.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// A server ran it and the caller has the whole answer.
+    /// A server ran the request and the caller has the complete answer.
     Answered,
-    /// It did not run and never will.
+    /// The request did not run and never will.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
 impl Outcome {
-    /// The outcome as headers and problem documents have it.
+    /// The outcome as written in headers and problem documents.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Answered => "answered",
@@ -39,115 +40,116 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Repeatability {
-    /// Running it again does no harm.
+    /// The request may be run again safely.
     Repeatable,
-    /// It runs at most once.
+    /// The request must run at most once.
     AtMostOnce,
 }
 
-/// How one attempt at a server ended.
+/// Result of one attempt at a server.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum AttemptEnd {
-    /// No byte of it was written: the connection was refused or could not be made.
+pub enum AttemptOutcome {
+    /// No byte was written: the connection was refused or could not be made.
     NotSent,
-    /// The server said in so many words that it did not run it: leaving, or no room.
+    /// The server stated explicitly that it did not run the request because it is leaving or has no room.
     Declined,
-    /// The server's whole answer arrived.
+    /// The server's complete answer arrived.
     Answered,
-    /// A byte may have been written and no whole answer came: reset, timeout, a broken answer. Also the end of
-    /// an attempt that was handed to another daemon which has not said that it will not run it.
+    /// A byte may have been written and no complete answer arrived: connection reset, timeout, or a broken
+    /// answer. Also the result of an attempt handed to another daemon that has not stated that it will not
+    /// run the request.
     MayHaveRun,
 }
 
-/// Why another attempt may not be made.
+/// Reason for which no further attempt may be made.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-pub enum NoRetry {
-    /// An earlier attempt may have run a request that runs at most once.
-    #[error("an earlier attempt may have run")]
+pub enum RetryRefusal {
+    /// An earlier attempt may have run a request that must run at most once.
+    #[error("an earlier attempt may have run the request")]
     MayHaveRun,
-    /// All attempts that the request is allowed were made.
-    #[error("all attempts were made")]
+    /// The limit of attempts is reached.
+    #[error("attempt limit reached")]
     Exhausted,
-    /// The caller has been told the outcome.
-    #[error("the outcome was reported")]
+    /// The outcome was reported to the caller.
+    #[error("outcome already reported to the caller")]
     Reported,
 }
 
-/// The attempts of one request.
+/// Attempts of one request.
 #[derive(Clone, Debug)]
 pub struct Attempts {
     repeatability: Repeatability,
     limit: u32,
     made: u32,
-    under_way: u32,
+    in_flight: u32,
     may_have_run: bool,
     answered: bool,
     reported: Option<Outcome>,
 }
 
 impl Attempts {
-    /// A request that may be tried `limit` times, if proof allows it.
+    /// Creates the state of a request that may be attempted `limit` times.
     pub fn new(repeatability: Repeatability, limit: u32) -> Self {
         Self {
             repeatability,
             limit,
             made: 0,
-            under_way: 0,
+            in_flight: 0,
             may_have_run: false,
             answered: false,
             reported: None,
         }
     }
 
-    /// Begins another attempt. An attempt under way counts as one that may have run.
+    /// Starts another attempt. An attempt in flight counts as one that may have run.
     ///
     /// # Errors
     ///
-    /// [`NoRetry`].
-    pub fn begin(&mut self) -> Result<(), NoRetry> {
+    /// [`RetryRefusal`] if no further attempt may be made.
+    pub fn begin(&mut self) -> Result<(), RetryRefusal> {
         self.may_begin()?;
         self.made += 1;
-        self.under_way += 1;
+        self.in_flight += 1;
         Ok(())
     }
 
-    /// Whether another attempt may begin.
+    /// Checks whether another attempt may start.
     ///
     /// # Errors
     ///
-    /// [`NoRetry`].
-    pub fn may_begin(&self) -> Result<(), NoRetry> {
+    /// [`RetryRefusal`] if no further attempt may be made.
+    pub fn may_begin(&self) -> Result<(), RetryRefusal> {
         if self.reported.is_some() {
-            return Err(NoRetry::Reported);
+            return Err(RetryRefusal::Reported);
         }
-        let may_have_run = self.may_have_run || self.answered || self.under_way > 0;
+        let may_have_run = self.may_have_run || self.answered || self.in_flight > 0;
         if self.repeatability == Repeatability::AtMostOnce && may_have_run {
-            return Err(NoRetry::MayHaveRun);
+            return Err(RetryRefusal::MayHaveRun);
         }
-        if self.made >= self.limit { Err(NoRetry::Exhausted) } else { Ok(()) }
+        if self.made >= self.limit { Err(RetryRefusal::Exhausted) } else { Ok(()) }
     }
 
-    /// Attempts begun so far.
+    /// Number of attempts that count towards the limit: those started, except ones that were not sent.
     pub fn made(&self) -> u32 {
         self.made
     }
 
-    /// Ends an attempt. Returns whether its answer, if it brought one, is the one for the caller: that of a
-    /// second attempt, or one that comes after the outcome was told, goes nowhere.
-    pub fn end(&mut self, end: AttemptEnd) -> bool {
-        self.under_way = self.under_way.saturating_sub(1);
-        match end {
-            AttemptEnd::NotSent => {
-                // It reached no server, so it does not count among those that the request may be sent to.
+    /// Ends an attempt. Returns whether its answer, if any, is the one for the caller: the answer of a second
+    /// attempt, and one that arrives after the outcome was reported, are discarded.
+    pub fn end(&mut self, outcome: AttemptOutcome) -> bool {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        match outcome {
+            AttemptOutcome::NotSent => {
+                // It reached no server, so it does not count towards the limit of attempts.
                 self.made = self.made.saturating_sub(1);
                 false
             }
-            AttemptEnd::Declined => false,
-            AttemptEnd::MayHaveRun => {
+            AttemptOutcome::Declined => false,
+            AttemptOutcome::MayHaveRun => {
                 self.may_have_run = true;
                 false
             }
-            AttemptEnd::Answered => {
+            AttemptOutcome::Answered => {
                 let first = !self.answered && self.reported.is_none();
                 self.answered = true;
                 first
@@ -155,17 +157,17 @@
         }
     }
 
-    /// The outcome to tell the caller now. It does not change once it was told.
+    /// Returns the outcome to report to the caller; it is fixed by the first call.
     pub fn report(&mut self) -> Outcome {
         let outcome = self.outcome();
         *self.reported.get_or_insert(outcome)
     }
 
-    /// The outcome as it stands, should the caller be told now.
+    /// The outcome if it were reported now.
     pub fn outcome(&self) -> Outcome {
         if self.answered {
             Outcome::Answered
-        } else if self.may_have_run || self.under_way > 0 {
+        } else if self.may_have_run || self.in_flight > 0 {
             Outcome::Unknown
         } else {
             Outcome::NotRun
--- a/crates/core/src/relay/engines/completion.rs
+++ b/crates/core/src/relay/engines/completion.rs
@@ -4,7 +4,7 @@
 use super::events::{EngineAction, EngineRefusal};
 use super::open_request::Stage;
 use crate::ids::RequestId;
-use crate::outcome::{NoRetry, Outcome};
+use crate::outcome::{Outcome, RetryRefusal};
 use crate::sched::FailureCause;
 use crate::units::{Micros, Millis, MonoTime, Tokens};
 
@@ -152,7 +152,7 @@
         }
         match open.attempts.may_begin() {
             Ok(()) if self.has_decode_engine(now_us) => self.waiting.push(request_id),
-            Ok(()) | Err(NoRetry::Exhausted | NoRetry::MayHaveRun | NoRetry::Reported) => {
+            Ok(()) | Err(RetryRefusal::Exhausted | RetryRefusal::MayHaveRun | RetryRefusal::Reported) => {
                 self.give_up(now_us, request_id, actions);
             }
         }
--- a/crates/core/src/sched/events.rs
+++ b/crates/core/src/sched/events.rs
@@ -1,7 +1,7 @@
 //! Inputs and outputs of the scheduler.
 
 use crate::ids::{BackendServerId, ClassName, ModelId, PartnerId, RequestId};
-use crate::outcome::AttemptEnd;
+use crate::outcome::AttemptOutcome;
 use crate::slots::{ServerLoad, SlotMessage};
 use crate::units::{Bytes, BytesPerSecond, Micros, Millis, MonoTime, Tokens};
 
@@ -71,15 +71,15 @@
 impl FailureCause {
     /// Whether a request that was sent whole to one server may have run there.
     pub fn may_have_run(self) -> bool {
-        self.attempt_end() == AttemptEnd::MayHaveRun
+        self.attempt_end() == AttemptOutcome::MayHaveRun
     }
 
     /// What the failure proves about an attempt that was sent whole to one server.
-    pub(crate) fn attempt_end(self) -> AttemptEnd {
+    pub(crate) fn attempt_end(self) -> AttemptOutcome {
         match self {
-            Self::NotSent | Self::Limited => AttemptEnd::NotSent,
-            Self::NoRoom | Self::Leaving => AttemptEnd::Declined,
-            Self::Timeout | Self::Broken | Self::Gone | Self::Refused => AttemptEnd::MayHaveRun,
+            Self::NotSent | Self::Limited => AttemptOutcome::NotSent,
+            Self::NoRoom | Self::Leaving => AttemptOutcome::Declined,
+            Self::Timeout | Self::Broken | Self::Gone | Self::Refused => AttemptOutcome::MayHaveRun,
         }
     }
 }
--- a/crates/core/src/sched/plain.rs
+++ b/crates/core/src/sched/plain.rs
@@ -11,7 +11,7 @@
 
 use crate::allowance::{Allowance, AllowanceSettings, LENDER_TIMEOUT_MS, LOAN_TIMEOUT_MS};
 use crate::ids::{BackendServerId, PartnerId, RequestId};
-use crate::outcome::{Attempts, NoRetry, Outcome, Repeatability};
+use crate::outcome::{Attempts, Outcome, Repeatability, RetryRefusal};
 use crate::quota::CREDIT_PER_UNIT;
 use crate::slots::{FairQueue, QueueSettings, Waiting};
 use crate::units::{Micros, Millis, MonoTime};
@@ -487,7 +487,7 @@
         let Some(call) = self.calls.get_mut(&request_id) else {
             return;
         };
-        if call.attempts.may_begin() == Err(NoRetry::MayHaveRun) {
+        if call.attempts.may_begin() == Err(RetryRefusal::MayHaveRun) {
             self.end_unknown(request_id, actions);
             return;
         }
--- a/crates/core/src/sched/replies.rs
+++ b/crates/core/src/sched/replies.rs
@@ -53,7 +53,7 @@
             | SlotMessage::Withdraw { .. }
             | SlotMessage::Started { .. }
             | SlotMessage::Ready { .. }
-            | SlotMessage::Moved { .. }
+            | SlotMessage::Transferred { .. }
             | SlotMessage::Release { .. }
             | SlotMessage::Renew { .. } => {}
         }
@@ -138,11 +138,11 @@
         };
         for hold in [&mut request.turn, &mut request.slot].into_iter().flatten() {
             if hold.ask == ask && hold.phase == GrantPhase::Ready {
-                hold.phase = GrantPhase::Moving;
+                hold.phase = GrantPhase::Transferring;
                 hold.rate_bytes_per_s = rate_bytes_per_s;
             }
         }
-        let moving = |hold: Option<Hold>| hold.is_some_and(|hold| hold.phase == GrantPhase::Moving);
+        let moving = |hold: Option<Hold>| hold.is_some_and(|hold| hold.phase == GrantPhase::Transferring);
         if request.stage == Stage::AwaitTransfer && moving(request.turn) && moving(request.slot) {
             self.start_import(now_us, request_id, actions);
         }
--- a/crates/core/src/sched/running.rs
+++ b/crates/core/src/sched/running.rs
@@ -161,7 +161,7 @@
             return;
         }
         self.confirm_without_watcher(now_us, request_id);
-        let moving = |hold: Option<Hold>| hold.is_some_and(|hold| hold.phase == GrantPhase::Moving);
+        let moving = |hold: Option<Hold>| hold.is_some_and(|hold| hold.phase == GrantPhase::Transferring);
         let is_confirmed = self
             .requests
             .get(&request_id)
@@ -190,7 +190,7 @@
             if hold.phase == GrantPhase::Ready && hold.guaranteed && (unresponsive || eviction_near) {
                 let entry = self.directory.get(hold.server);
                 let link = entry.map_or(0, |entry| entry.record.link_bytes_per_s.0);
-                hold.phase = GrantPhase::Moving;
+                hold.phase = GrantPhase::Transferring;
                 hold.rate_bytes_per_s = BytesPerSecond(link / UNCONFIRMED_LINK_DIVISOR);
                 self.counters.unconfirmed_transfers += 1;
             }
@@ -241,11 +241,11 @@
         let Some(slot) = request.slot.as_mut() else {
             return;
         };
-        slot.phase = GrantPhase::Moved;
+        slot.phase = GrantPhase::Transferred;
         let (index, attempt, from_index) = (slot.server, request.attempt, request.tokens);
         let server = self.directory.name(index).clone();
         self.release_hold(request_id, turn, GrantOutcome::Done, actions);
-        let moved = SlotMessage::Moved { server: server.clone(), request_id };
+        let moved = SlotMessage::Transferred { server: server.clone(), request_id };
         actions.push(Action::Send(moved));
         actions.push(Action::Decode {
             request_id,
--- a/crates/core/src/sched/shift.rs
+++ b/crates/core/src/sched/shift.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 
 use crate::ids::{BackendServerId, ModelId};
-use crate::order::LoadBudget;
+use crate::order::LoadLimit;
 use crate::slots::Role;
 use crate::units::{Bytes, BytesPerSecond, Micros, Millis, MonoTime};
 
@@ -259,7 +259,7 @@
         orders: &mut Vec<ShiftOrder>,
     ) {
         let in_progress = self.draining.len() + self.loading.len();
-        let at_limit = LoadBudget { limit: self.settings.concurrent_max }.admit(in_progress).is_err();
+        let at_limit = LoadLimit { limit: self.settings.concurrent_max }.admit(in_progress).is_err();
         let Some(pool) = self.pools.get_mut(&model_demand.model) else {
             return;
         };
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -1,18 +1,18 @@
-//! Slots of backend servers, granted by the daemon that watches each.
+//! Allocation of backend servers' capacity by the daemon that watches each server.
 //!
-//! A prefill server's scarce good is its time: the watcher grants a *turn*. A decode server's is its slots:
-//! the watcher grants a *slot* and a share of the transfer link. A request holds a turn before it asks for a
-//! slot, and a slot before its prefill starts.
+//! At a prefill server the limited resource is compute time, and its watcher grants *turns*. At a decode
+//! server it is slots, and its watcher grants a *slot* and a share of the transfer link. A request holds a
+//! turn before it asks for a slot, and a slot before its prefill starts.
 //!
-//! Load and harm: at the peaks both kinds are near full and six to nine daemons decide apart, each seeing a
-//! share of the arrivals. Load reports lag, so daemons that place by them send their work to the same server
-//! in the same moment; a prefill without a slot to go to is evicted in under a second and thrown away. One
-//! watcher for each server counts exactly, and sees the asks of all partners from all daemons, so fairness
-//! needs no message beyond the ask itself.
+//! At peak load both kinds of server are nearly full, and six to nine daemons place requests independently,
+//! each seeing a share of the arrivals. Load reports lag, so daemons that place by them send their work to
+//! the same server at the same moment, and a prefill whose result has no slot to go to is evicted in under a
+//! second and wasted. A single watcher per server counts exactly, and receives the asks of all partners from
+//! all daemons, so fairness needs no messages beyond the asks themselves.
 
+mod drain_ratio;
 mod fair_queue;
 mod ledger;
-mod pace;
 mod watcher;
 
 use serde::{Deserialize, Serialize};
@@ -24,62 +24,64 @@
 pub use ledger::{HeldReport, Ledger, LedgerAction, LedgerCounters, LedgerSettings};
 pub use watcher::Watcher;
 
-/// Names one ask of one daemon's life. An answer to an ask that was given up finds nothing under its number.
+/// Identifies an ask among those of one daemon incarnation, so that a reply to an abandoned ask is recognised
+/// as such.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct AskId(pub u64);
 
-/// What a model engine does, as far as its ledger cares.
+/// Role of a model engine, as far as its ledger is concerned.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub enum Role {
-    /// Reads prompts; grants are turns.
+    /// Processes prompts; grants are turns.
     Prefill,
-    /// Writes tokens; grants are slots.
+    /// Generates tokens; grants are slots.
     Decode,
 }
 
-/// One daemon asks for one server.
+/// A daemon's request for capacity at one server.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Ask {
-    /// For which request.
+    /// Request that the capacity is for.
     pub request_id: RequestId,
-    /// Names the ask.
+    /// Id of the ask.
     pub ask: AskId,
-    /// Which server.
+    /// Server that the message is about.
     pub server: BackendServerId,
-    /// On whose account.
+    /// Partner that is charged.
     pub partner: PartnerId,
     /// Expected work: tokens to prefill after the cached prefix, or tokens to decode.
     pub work_tokens: Tokens,
-    /// KV cache that will cross the link.
+    /// Size of the KV cache to transfer over the link.
     pub kv_bytes: Bytes,
-    /// What the partner is charged: time of the resource of which the request takes the largest share.
+    /// Charge to the partner: time of the resource of which the request takes the largest share.
     pub charge_us: Micros,
-    /// How long a grant may take so that the target is still met; `None` when it is missed already.
+    /// Latest useful delay of a grant; `None` if the target is missed already.
     pub slack_us: Option<Micros>,
-    /// Number of servers that the daemon asks at once for this request; only one of them will do the work.
+    /// Number of servers asked at once for this request; only one of them will do the work.
     pub copies: u8,
-    /// Time until the slot is needed, for a request so tight that it may start on a likely slot.
+    /// Time until the slot is needed, set for a request so tight that it may start on a slot that is only
+    /// likely to be free by then.
     pub needed_in_us: Option<Micros>,
 }
 
-/// State of a server as its watcher knows it, with each reply.
+/// State of a server as known to its watcher, sent with each reply.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct ServerLoad {
     /// Expected wait of a new ask.
     pub wait_us: Micros,
-    /// Slots free; 0 or 1 for a turn.
+    /// Free slots; 0 or 1 for turns.
     pub free: u32,
-    /// Observed time for one token: of the prompt at a prefill server, of the answer at a decode server.
-    /// Zero while nothing was observed.
+    /// Observed time per token: of the prompt at a prefill server, of the output at a decode server. Zero if
+    /// nothing was observed yet.
     pub token_us: Micros,
-    /// Whether the watcher gives grants at all.
+    /// Whether the watcher currently gives grants.
     pub open: bool,
 }
 
-/// Why an ask was denied.
+/// Reason for which an ask was denied.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub enum DenyReason {
-    /// The partner's share cannot serve it in time.
+    /// The partner's share of the server cannot serve the ask in time.
     WouldMissTarget,
     /// The partner's queue is full.
     QueueFull,
@@ -87,169 +89,171 @@
     Leaving,
     /// The server does not answer or is far too slow.
     Unhealthy,
-    /// The daemon asked does not watch this server.
+    /// The receiving daemon does not watch this server.
     NotWatching,
 }
 
-/// How a grant ended.
+/// Result of a grant.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub enum GrantOutcome {
-    /// Work done.
+    /// The work was done.
     Done,
-    /// Not used.
+    /// The grant was not used.
     Unused,
-    /// Ended by the caller or by a fault elsewhere.
+    /// Ended by the caller or by a failure elsewhere.
     Abandoned,
-    /// The server gave no answer in time.
+    /// The server did not answer in time.
     TimedOut,
-    /// The server refused or broke off.
+    /// The server refused the request or broke off.
     Failed,
 }
 
-/// How far a granted request has come.
+/// Progress of a granted request. The order of the variants is the order of the phases.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub enum GrantPhase {
-    /// Granted.
+    /// Granted, not started.
     Reserved,
-    /// At a prefill server the prompt is being read, or waits there for the one before.
+    /// At a prefill server: the prompt was sent and is being processed or queued there.
     Running,
-    /// The prompt is read, and the transfer waits for its share of the link.
+    /// The prompt is processed, and the transfer waits for its share of the link.
     Ready,
-    /// The transfer is under way.
-    Moving,
-    /// The transfer is done; at a decode server the answer is being written.
-    Moved,
+    /// The KV cache is being transferred.
+    Transferring,
+    /// The transfer is complete; at a decode server the output is being generated.
+    Transferred,
 }
 
-/// A grant that a daemon still uses.
+/// A grant that is still in use, as listed by the daemon that uses it.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct HeldGrant {
-    /// For which request.
+    /// Request that the capacity is for.
     pub request_id: RequestId,
-    /// The ask that was granted.
+    /// Ask that was granted.
     pub ask: AskId,
-    /// On whose account.
+    /// Partner that is charged.
     pub partner: PartnerId,
-    /// How far it has come.
+    /// Progress of the request.
     pub phase: GrantPhase,
-    /// Link rate that was granted.
+    /// Granted link rate.
     pub rate_bytes_per_s: BytesPerSecond,
-    /// Work that is left.
+    /// Remaining work.
     pub work_tokens: Tokens,
-    /// Time for one token seen since the last message; zero when unknown.
+    /// Time per token observed since the last message; zero if unknown.
     pub token_us: Micros,
 }
 
-/// What daemons say to each other about slots. Delivery is at most once: asks are repeated by their daemon,
-/// and grants that nobody renews expire.
+/// Messages between daemons about slots. Delivery is at most once: a daemon repeats its asks, and grants that
+/// are not renewed expire.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub enum SlotMessage {
-    /// To the watcher: a request wants this server.
+    /// To the watcher: asks for capacity for a request.
     Ask(Ask),
     /// To the watcher: the request no longer waits for this server.
     Withdraw {
-        /// Which server.
+        /// Server that the message is about.
         server: BackendServerId,
-        /// Which request.
+        /// Request that the message is about.
         request_id: RequestId,
-        /// Which ask.
+        /// Id of the ask.
         ask: AskId,
     },
-    /// From the watcher: the ask waits in its queue.
+    /// From the watcher: the ask is queued.
     Queued {
-        /// Which server.
+        /// Server that the message is about.
         server: BackendServerId,
-        /// Which request.
+        /// Request that the message is about.
         request_id: RequestId,
-        /// Which ask.
+        /// Id of the ask.
         ask: AskId,
-        /// Load as known now.
+        /// Current load of the server.
         load: ServerLoad,
     },
-    /// From the watcher: the server is the request's until the grant expires.
+    /// From the watcher: the capacity is reserved for the request until the grant expires.
     Grant {
-        /// Which server.
+        /// Server that the message is about.
         server: BackendServerId,
-        /// Which request.
+        /// Request that the message is about.
         request_id: RequestId,
-        /// Which ask.
+        /// Id of the ask.
         ask: AskId,
-        /// Load as known now.
+        /// Current load of the server.
         load: ServerLoad,
-        /// How long it holds without being renewed.
+        /// Time after which the grant expires unless it is renewed.
         ttl_ms: Millis,
     },
-    /// From the watcher: the transfer may start. Nothing is imported before both ends have said so.
+    /// From the watcher: the transfer may start. It starts only after the watchers of both ends have
+    /// confirmed it.
     Confirm {
-        /// Which server.
+        /// Server that the message is about.
         server: BackendServerId,
-        /// Which request.
+        /// Request that the message is about.
         request_id: RequestId,
-        /// Which ask.
+        /// Id of the ask.
         ask: AskId,
-        /// Its share of the server's link.
+        /// Granted share of the server's link.
         rate_bytes_per_s: BytesPerSecond,
     },
-    /// From the watcher: no.
+    /// From the watcher: the ask is denied.
     Deny {
-        /// Which server.
+        /// Server that the message is about.
         server: BackendServerId,
-        /// Which request.
+        /// Request that the message is about.
         request_id: RequestId,
-        /// Which ask.
+        /// Id of the ask.
         ask: AskId,
-        /// Load as known now.
+        /// Current load of the server.
         load: ServerLoad,
-        /// Why.
+        /// Reason of the denial.
         reason: DenyReason,
-        /// When another try is worth making.
+        /// Suggested delay before a retry.
         retry_after_ms: Millis,
     },
-    /// To the watcher of a prefill server: the prompt was sent to it.
+    /// To the watcher of a prefill server: the prompt was sent to the server.
     Started {
-        /// Which server.
+        /// Server that the message is about.
         server: BackendServerId,
-        /// Which request.
+        /// Request that the message is about.
         request_id: RequestId,
     },
-    /// To the watcher, of a prefill server as well as of a decode server: the prompt is read and its result
-    /// can be moved.
+    /// To the watcher of the prefill server and to that of the decode server: the prompt is processed and its
+    /// result can be transferred.
     Ready {
-        /// Which server.
+        /// Server that the message is about.
         server: BackendServerId,
-        /// Which request.
+        /// Request that the message is about.
         request_id: RequestId,
-        /// Which ask.
+        /// Id of the ask.
         ask: AskId,
-        /// Time from the start of the prefill to its end; zero for a decode server.
+        /// Duration of the prefill; zero for a decode server.
         work_us: Micros,
-        /// Tokens that were read.
+        /// Prompt tokens processed.
         work_tokens: Tokens,
     },
-    /// To the watcher of a decode server: the transfer is done.
-    Moved {
-        /// Which server.
+    /// To the watcher of a decode server: the transfer is complete.
+    Transferred {
+        /// Server that the message is about.
         server: BackendServerId,
-        /// Which request.
+        /// Request that the message is about.
         request_id: RequestId,
     },
     /// To the watcher: the grant is no longer used.
     Release {
-        /// Which server.
+        /// Server that the message is about.
         server: BackendServerId,
-        /// Which request.
+        /// Request that the message is about.
         request_id: RequestId,
-        /// Which ask.
+        /// Id of the ask.
         ask: AskId,
-        /// How it ended.
+        /// Result of the grant.
         outcome: GrantOutcome,
     },
-    /// To the watcher: all grants of this server that the sending daemon uses. What is not on the list is
-    /// free; what the watcher does not know it takes over, which is how a new watcher learns of old grants.
+    /// To the watcher: all grants of this server that the sending daemon uses. Grants that are not listed are
+    /// freed; listed grants that the watcher does not know are taken over, which is how a new watcher learns
+    /// of existing grants.
     Renew {
-        /// Which server.
+        /// Server that the message is about.
         server: BackendServerId,
-        /// The grants.
+        /// Grants in use.
         held: Vec<HeldGrant>,
     },
 }
@@ -266,13 +270,13 @@
             | Self::Deny { server, .. }
             | Self::Started { server, .. }
             | Self::Ready { server, .. }
-            | Self::Moved { server, .. }
+            | Self::Transferred { server, .. }
             | Self::Release { server, .. }
             | Self::Renew { server, .. } => server,
         }
     }
 
-    /// Whether the message goes to the watcher of its server, rather than to a daemon that asked.
+    /// Whether the message is addressed to the server's watcher, rather than to a daemon that asked.
     pub fn is_for_watcher(&self) -> bool {
         matches!(
             self,
@@ -280,7 +284,7 @@
                 | Self::Withdraw { .. }
                 | Self::Started { .. }
                 | Self::Ready { .. }
-                | Self::Moved { .. }
+                | Self::Transferred { .. }
                 | Self::Release { .. }
                 | Self::Renew { .. }
         )
--- a/crates/core/src/slots/pace.rs
+++ b/crates/core/src/slots/drain_ratio.rs
@@ -1,28 +1,28 @@
-//! How fast a queue really drains.
+//! Measured drain time of a queue in relation to the expected work.
 
 use crate::units::{Micros, MonoTime};
 
-/// Time that passes for a unit of expected work, while something waits.
+/// Elapsed time per unit of expected work while requests are waiting.
 ///
-/// Load: overload. Harm prevented: a forecast from nominal speeds is wrong whenever the server is slow, when
-/// turns wait for slots elsewhere, or when asks leave because another server took them; too low, it takes in
-/// requests that will be late, and all work becomes late work. All three show in how fast the queue drains.
+/// Under overload, an estimate from nominal speeds is wrong whenever the server is slow, turns wait for slots
+/// elsewhere, or asks leave because another server accepted them. An estimate that is too low accepts
+/// requests that will be late, until all work is late. All three effects show in how fast the queue drains.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Pace {
+pub(super) struct DrainRatio {
     value: f64,
     busy_from_us: Option<MonoTime>,
     busy_us: u64,
     drained_us: u64,
 }
 
-/// Busy time after which a figure is taken: several prompts.
+/// Busy time per sample; covers several prompts.
 const WINDOW_US: u64 = 400_000;
-/// Weight of a new figure.
+/// Weight of a new sample in the moving average.
 const WEIGHT: f64 = 0.3;
-/// One odd window cannot shut a queue or open it to everything.
+/// Limits of the ratio, so that a single outlier neither closes the queue nor admits everything.
 const RANGE: (f64, f64) = (0.3, 20.0);
 
-impl Pace {
+impl DrainRatio {
     pub(super) fn new() -> Self {
         Self { value: 1.0, busy_from_us: None, busy_us: 0, drained_us: 0 }
     }
@@ -31,13 +31,13 @@
         self.value
     }
 
-    /// Something waits from now on.
-    pub(super) fn begin(&mut self, now_us: MonoTime) {
+    /// Marks the queue as non-empty from `now_us` on.
+    pub(super) fn start_busy(&mut self, now_us: MonoTime) {
         self.busy_from_us.get_or_insert(now_us);
     }
 
-    /// Work left the queue after waiting in it.
-    pub(super) fn drain(&mut self, now_us: MonoTime, work_us: Micros, still_waiting: bool) {
+    /// Records work that left the queue after waiting in it.
+    pub(super) fn record(&mut self, now_us: MonoTime, work_us: Micros, still_waiting: bool) {
         let Some(from_us) = self.busy_from_us else {
             return;
         };
--- a/crates/core/src/slots/fair_queue.rs
+++ b/crates/core/src/slots/fair_queue.rs
@@ -1,36 +1,38 @@
-//! The queue before one server or service: max-min between partners, deadline order inside a partner.
+//! Queue in front of one server or service: max-min fair between partners, deadline order within a partner.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use crate::ids::{PartnerId, RequestId};
 use crate::units::{Micros, Millis, MonoTime};
 
-/// In which order asks are granted.
+/// Order in which asks are granted.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum QueueOrder {
-    /// Max-min between partners by charged time; inside a partner by deadline, late ones behind.
+    /// Max-min fair between partners by charged time; by deadline within a partner, with late asks last.
     #[default]
     FairDeadline,
-    /// By arrival, whoever sent it. Kept as the baseline that the outcome table compares with.
+    /// First in, first out over all partners. The baseline in comparisons of scheduling policies.
     Fifo,
 }
 
-/// Bounds of the queue.
+/// Limits of the queue.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueSettings {
     /// Order of grants.
     pub order: QueueOrder,
-    /// Asks of one partner that may wait. Memory bound against a surge: the estimate of the wait refuses far
-    /// earlier whenever targets are sane, so this only catches absurdly loose ones.
+    /// Maximum number of waiting asks of one partner. A memory limit: with realistic targets the wait
+    /// estimate denies asks far earlier, so this is reached only with extremely loose targets.
     pub per_partner_max: usize,
-    /// Asks past their target of one partner that may wait. Smaller, because they earn nothing any more.
+    /// Maximum number of waiting asks of one partner that missed their target. Smaller, because they no
+    /// longer count towards goodput.
     pub late_max: usize,
-    /// Longest wait that an ask past its target is taken in for; a caller has gone by then.
-    pub late_patience_ms: Millis,
-    /// Age from which a late ask goes before those in time, so that it does not starve.
+    /// Maximum expected wait at which an ask that missed its target is still accepted; callers have left by
+    /// then.
+    pub late_wait_max_ms: Millis,
+    /// Age from which a late ask takes precedence over those in time, so that it does not starve.
     pub ageing_ms: Millis,
-    /// Of so many grants to a partner, one may go to an aged late ask: answers owed are given, while at
-    /// least the other grants still earn goodput.
+    /// One in this many grants to a partner may go to an aged late ask: late requests are still answered,
+    /// while the other grants earn goodput.
     pub ageing_every: u32,
 }
 
@@ -40,36 +42,36 @@
             order: QueueOrder::FairDeadline,
             per_partner_max: 256,
             late_max: 64,
-            late_patience_ms: Millis(15_000),
+            late_wait_max_ms: Millis(15_000),
             ageing_ms: Millis(8_000),
             ageing_every: 8,
         }
     }
 }
 
-/// A request that waits, with what its owner needs to know of it.
+/// A waiting request, with the data that the queue's owner attached.
 #[derive(Clone, Debug)]
 pub struct Waiting<Item> {
-    /// Which request.
+    /// Id of the request.
     pub request_id: RequestId,
-    /// On whose account.
+    /// Partner that is charged.
     pub partner: PartnerId,
-    /// Since when.
+    /// Time at which it entered the queue.
     pub since_us: MonoTime,
-    /// Latest useful grant; `None` once the target is missed.
+    /// Latest time at which a grant is useful; `None` once the target is missed.
     pub latest_us: Option<MonoTime>,
-    /// Time that the work takes at this server.
+    /// Expected service time at this server.
     pub work_us: Micros,
-    /// What the partner is charged.
+    /// Time charged to the partner.
     pub charge_us: Micros,
-    /// Whatever belongs to it.
+    /// Data of the queue's owner.
     pub item: Item,
 }
 
 type Key = (MonoTime, u64);
 
 #[derive(Clone, Copy, Debug)]
-struct Place {
+struct Position {
     partner: usize,
     key: Key,
     late: bool,
@@ -80,10 +82,11 @@
     in_time: BTreeMap<Key, Waiting<Item>>,
     late: BTreeMap<Key, Waiting<Item>>,
     work_us: u64,
-    /// Time charged so far, on a clock on which idle partners are moved up to the busy ones.
+    /// Virtual time: time charged so far. An idle partner's is advanced to that of the busy ones when it
+    /// returns.
     charged_us: u64,
-    /// Sequence number of its last change of rank.
-    since: u64,
+    /// Sequence number of the last change of rank.
+    rank_sequence: u64,
     grants: u32,
 }
 
@@ -94,13 +97,13 @@
             late: BTreeMap::new(),
             work_us: 0,
             charged_us: 0,
-            since: 0,
+            rank_sequence: 0,
             grants: 0,
         }
     }
 
     fn rank(&self, index: usize) -> Rank {
-        Rank { charged_us: self.charged_us, since: self.since, index }
+        Rank { charged_us: self.charged_us, sequence: self.rank_sequence, index }
     }
 
     fn is_empty(&self) -> bool {
@@ -112,148 +115,152 @@
     }
 }
 
-/// Order of partners: time charged, then how long ago its turn came, so that ties go in order of arrival.
+/// Order of partners: least charged time first; ties go to the partner whose rank changed longest ago.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct Rank {
     charged_us: u64,
-    since: u64,
+    sequence: u64,
     index: usize,
 }
 
-/// Expected fate of an ask, if it were taken in.
+/// Expected effect of accepting an ask.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Forecast {
-    /// Expected wait.
+    /// Expected wait of the ask.
     pub wait_us: Micros,
-    /// Whether an ask taken in earlier would miss its target for this one.
-    pub harms_earlier: bool,
+    /// Whether an ask accepted earlier would miss its target because of this one.
+    pub delays_earlier: bool,
 }
 
 /// Requests waiting for one server or service.
 ///
-/// Load: one partner surging tenfold, marking everything as its tightest class, or publishing a target of
-/// one millisecond. Harm prevented: with one deadline order over all, that partner would always come first
-/// and the other's requests would miss their targets although it asks for less than its share. So the
-/// partner that was charged least comes first, and deadlines only order the work inside a partner.
-/// A partner without waiting asks collects no credit (its clock is moved up when it comes back): otherwise
-/// a quiet hour would buy a burst that shuts the other out.
+/// Guards against one partner that increases its load tenfold, assigns all requests to its tightest class, or
+/// publishes a target of one millisecond: under a single deadline order for all, that partner would always
+/// come first, and another partner's requests would miss their targets although it uses less than its share.
+/// Therefore the partner charged least comes first, and deadlines only order the work within a partner. A
+/// partner without waiting asks accumulates no credit, because its virtual time is advanced when it returns:
+/// otherwise an idle hour would allow a burst that excludes the others.
 #[derive(Debug)]
 pub struct FairQueue<Item> {
     settings: QueueSettings,
     partners: Vec<PartnerQueue<Item>>,
-    names: HashMap<PartnerId, usize>,
-    places: HashMap<RequestId, Place>,
+    partner_indices: HashMap<PartnerId, usize>,
+    positions: HashMap<RequestId, Position>,
     active: BTreeSet<Rank>,
-    clock_us: u64,
+    virtual_time_us: u64,
     sequence: u64,
     work_us: u64,
 }
 
 impl<Item> FairQueue<Item> {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(settings: QueueSettings) -> Self {
         Self {
             settings,
             partners: Vec::new(),
-            names: HashMap::new(),
-            places: HashMap::new(),
+            partner_indices: HashMap::new(),
+            positions: HashMap::new(),
             active: BTreeSet::new(),
-            clock_us: 0,
+            virtual_time_us: 0,
             sequence: 0,
             work_us: 0,
         }
     }
 
-    /// Number of asks waiting.
+    /// Number of waiting asks.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no ask is waiting.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
     }
 
-    /// Work waiting, of all partners.
+    /// Total expected service time of the waiting asks.
     pub fn work_us(&self) -> Micros {
         Micros(self.work_us)
     }
 
-    /// The request, if it waits.
+    /// The entry of a waiting request.
     pub fn get(&self, request_id: RequestId) -> Option<&Waiting<Item>> {
-        let place = self.places.get(&request_id)?;
-        let queue = &self.partners[place.partner];
-        let side = if place.late { &queue.late } else { &queue.in_time };
-        side.get(&place.key)
+        let position = self.positions.get(&request_id)?;
+        let queue = &self.partners[position.partner];
+        let entries = if position.late { &queue.late } else { &queue.in_time };
+        entries.get(&position.key)
     }
 
-    /// Whether the partner has no room for one more ask.
+    /// Whether the partner's limit of waiting asks, or of late ones if `late`, is reached.
     pub fn is_full(&self, partner: &PartnerId, late: bool) -> bool {
-        let Some(queue) = self.names.get(partner).map(|&index| &self.partners[index]) else {
+        let Some(queue) = self.partner_indices.get(partner).map(|&index| &self.partners[index]) else {
             return false;
         };
         queue.len() >= self.settings.per_partner_max || (late && queue.late.len() >= self.settings.late_max)
     }
 
-    /// Foretells the wait of a request.
+    /// Estimates the wait of a request.
     ///
-    /// What goes before it is the work of its own partner that is due earlier, and of each other partner as
-    /// much as that one is behind: partners are served until their clocks have reached this one's. A partner
-    /// inside its share so waits for hardly anybody, however much the others have queued. `pace` stretches
-    /// the sum by what the server really takes for a unit of expected work.
-    pub fn forecast(&self, now_us: MonoTime, entry: &Waiting<Item>, pace: f64) -> Forecast {
+    /// Ahead of it are the work of its own partner with earlier deadlines, and of each other partner as much
+    /// work as that partner's virtual time is behind: a partner is served until its virtual time reaches this
+    /// one's. A partner within its share therefore waits for little work of others, however much they have
+    /// queued. `drain_ratio` scales the sum by the measured time per unit of expected work.
+    pub fn forecast(&self, now_us: MonoTime, entry: &Waiting<Item>, drain_ratio: f64) -> Forecast {
         if self.settings.order == QueueOrder::Fifo {
-            let wait_us = stretch(self.work_us().0, pace);
-            return Forecast { wait_us: Micros(wait_us), harms_earlier: false };
+            let wait_us = scale(self.work_us().0, drain_ratio);
+            return Forecast { wait_us: Micros(wait_us), delays_earlier: false };
         }
-        let own_index = self.names.get(&entry.partner).copied();
+        let own_index = self.partner_indices.get(&entry.partner).copied();
         let own = own_index.map(|index| &self.partners[index]);
         let ahead_us = own.map_or(0, |queue| work_ahead(queue, entry));
-        let wait_us = stretch(self.wait_for(own_index, ahead_us, entry.work_us.0), pace);
-        let harms_earlier = entry.latest_us.is_some()
-            && own.is_some_and(|queue| self.harms(now_us, own_index, queue, entry, ahead_us, pace));
-        Forecast { wait_us: Micros(wait_us), harms_earlier }
+        let wait_us = scale(self.wait_for(own_index, ahead_us, entry.work_us.0), drain_ratio);
+        let delays_earlier = entry.latest_us.is_some()
+            && own.is_some_and(|queue| {
+                self.would_delay(now_us, own_index, queue, entry, ahead_us, drain_ratio)
+            });
+        Forecast { wait_us: Micros(wait_us), delays_earlier }
     }
 
     fn wait_for(&self, own_index: Option<usize>, own_us: u64, work_us: u64) -> u64 {
         let own = own_index.map(|index| &self.partners[index]);
-        let own_clock_us = own.map_or(self.clock_us, |queue| queue.charged_us.max(self.clock_us));
-        let reach_us = own_clock_us + own_us;
+        let own_virtual_us =
+            own.map_or(self.virtual_time_us, |queue| queue.charged_us.max(self.virtual_time_us));
+        let target_virtual_us = own_virtual_us + own_us;
         let others = self.active.iter().filter(|rank| Some(rank.index) != own_index);
-        let before = others.take_while(|rank| rank.charged_us <= reach_us).map(|rank| {
-            // One that is level may have one more request served first.
-            let behind_us = reach_us - rank.charged_us + work_us;
+        let before = others.take_while(|rank| rank.charged_us <= target_virtual_us).map(|rank| {
+            // A partner with equal virtual time may have one more request served first.
+            let behind_us = target_virtual_us - rank.charged_us + work_us;
             self.partners[rank.index].work_us.min(behind_us)
         });
         own_us + before.sum::<u64>()
     }
 
-    /// An ask that goes in front of others of its partner may make them late although they were taken in
-    /// with a promise. The newcomer is denied then: it has lost nothing yet.
-    fn harms(
+    /// Whether the entry would make asks of its partner late that were accepted with a promise to meet their
+    /// target. The new ask is denied in that case, because nothing was promised to it yet.
+    fn would_delay(
         &self,
         now_us: MonoTime,
         own_index: Option<usize>,
         queue: &PartnerQueue<Item>,
         entry: &Waiting<Item>,
         ahead_us: u64,
-        pace: f64,
+        drain_ratio: f64,
     ) -> bool {
         let Some(latest_us) = entry.latest_us else {
             return false;
         };
         let mut before_us = ahead_us;
-        // Who has time until the whole queue is done cannot be harmed.
-        let all_done_us = now_us + Micros(stretch(self.work_us + entry.work_us.0, pace));
+        // An ask whose deadline lies beyond the completion of the whole queue cannot be delayed past it.
+        let all_done_us = now_us + Micros(scale(self.work_us + entry.work_us.0, drain_ratio));
         if all_done_us <= latest_us {
             return false;
         }
         let span = (latest_us, u64::MAX)..(all_done_us, 0);
-        for (key, later) in queue.in_time.range(span).take(HARM_LOOKAHEAD) {
+        for (key, later) in queue.in_time.range(span).take(DELAY_CHECK_MAX) {
             let without =
-                now_us + Micros(stretch(self.wait_for(own_index, before_us, later.work_us.0), pace));
+                now_us + Micros(scale(self.wait_for(own_index, before_us, later.work_us.0), drain_ratio));
             let with_us = before_us + entry.work_us.0;
-            let with = now_us + Micros(stretch(self.wait_for(own_index, with_us, later.work_us.0), pace));
+            let with =
+                now_us + Micros(scale(self.wait_for(own_index, with_us, later.work_us.0), drain_ratio));
             if without <= key.0 && with > key.0 {
                 return true;
             }
@@ -262,7 +269,7 @@
         false
     }
 
-    /// Takes an ask in. The caller has checked the bounds.
+    /// Adds an ask. The caller has checked the limits.
     pub fn push(&mut self, entry: Waiting<Item>) {
         let index = self.partner_index(&entry.partner);
         self.sequence += 1;
@@ -272,70 +279,70 @@
             QueueOrder::Fifo => entry.since_us,
         };
         let key = (order_us, self.sequence);
-        self.places.insert(entry.request_id, Place { partner: index, key, late });
-        let clock_us = self.clock_us;
+        self.positions.insert(entry.request_id, Position { partner: index, key, late });
+        let virtual_time_us = self.virtual_time_us;
         let queue = &mut self.partners[index];
         if queue.is_empty() {
-            queue.charged_us = queue.charged_us.max(clock_us);
-            queue.since = self.sequence;
+            queue.charged_us = queue.charged_us.max(virtual_time_us);
+            queue.rank_sequence = self.sequence;
             self.active.insert(queue.rank(index));
         }
         queue.work_us += entry.work_us.0;
         self.work_us += entry.work_us.0;
-        let side = if late { &mut queue.late } else { &mut queue.in_time };
-        side.insert(key, entry);
+        let entries = if late { &mut queue.late } else { &mut queue.in_time };
+        entries.insert(key, entry);
     }
 
     fn partner_index(&mut self, partner: &PartnerId) -> usize {
-        if let Some(&index) = self.names.get(partner) {
+        if let Some(&index) = self.partner_indices.get(partner) {
             return index;
         }
-        // All asks share one queue in arrival order: the baseline knows no partners.
+        // The FIFO baseline puts all partners into one queue.
         if self.settings.order == QueueOrder::Fifo && !self.partners.is_empty() {
-            self.names.insert(partner.clone(), 0);
+            self.partner_indices.insert(partner.clone(), 0);
             return 0;
         }
         self.partners.push(PartnerQueue::new());
         let index = self.partners.len() - 1;
-        self.names.insert(partner.clone(), index);
+        self.partner_indices.insert(partner.clone(), index);
         index
     }
 
-    /// Takes the ask of `request_id` out, if it waits.
+    /// Removes the ask of `request_id`, if it is waiting.
     pub fn remove(&mut self, request_id: RequestId) -> Option<Waiting<Item>> {
-        let place = self.places.remove(&request_id)?;
-        let queue = &mut self.partners[place.partner];
-        let side = if place.late { &mut queue.late } else { &mut queue.in_time };
-        let entry = side.remove(&place.key)?;
+        let position = self.positions.remove(&request_id)?;
+        let queue = &mut self.partners[position.partner];
+        let entries = if position.late { &mut queue.late } else { &mut queue.in_time };
+        let entry = entries.remove(&position.key)?;
         queue.work_us = queue.work_us.saturating_sub(entry.work_us.0);
         self.work_us = self.work_us.saturating_sub(entry.work_us.0);
         if queue.is_empty() {
-            self.active.remove(&queue.rank(place.partner));
+            self.active.remove(&queue.rank(position.partner));
         }
         Some(entry)
     }
 
-    /// The request to grant next.
+    /// The request to grant next; late asks are demoted first.
     pub fn peek(&mut self, now_us: MonoTime) -> Option<&Waiting<Item>> {
         let index = self.active.first()?.index;
         self.demote(now_us, index);
-        let request_id = self.choose(now_us, index)?;
+        let request_id = self.select_next(now_us, index)?;
         self.get(request_id)
     }
 
-    /// The request to grant next, taken out and charged to its partner.
+    /// Removes the request to grant next and charges its partner.
     pub fn pop(&mut self, now_us: MonoTime) -> Option<Waiting<Item>> {
         let index = self.active.first()?.index;
         self.demote(now_us, index);
-        let request_id = self.choose(now_us, index)?;
+        let request_id = self.select_next(now_us, index)?;
         let before = self.partners[index].rank(index);
-        self.clock_us = before.charged_us;
+        self.virtual_time_us = before.charged_us;
         let entry = self.remove(request_id)?;
         self.active.remove(&before);
         self.sequence += 1;
         let queue = &mut self.partners[index];
         queue.charged_us = before.charged_us + entry.charge_us.0.max(1);
-        queue.since = self.sequence;
+        queue.rank_sequence = self.sequence;
         queue.grants += 1;
         if !queue.is_empty() {
             self.active.insert(queue.rank(index));
@@ -343,9 +350,9 @@
         Some(entry)
     }
 
-    /// Gives back the charge of a grant that was not used.
+    /// Refunds the charge of a grant that was not used.
     pub fn refund(&mut self, partner: &PartnerId, charge_us: Micros) {
-        let Some(&index) = self.names.get(partner) else {
+        let Some(&index) = self.partner_indices.get(partner) else {
             return;
         };
         let queue = &mut self.partners[index];
@@ -356,8 +363,8 @@
         }
     }
 
-    /// Puts asks whose target can no longer be met behind the others of their partner: they earn nothing,
-    /// and each grant to them would make another one late.
+    /// Moves asks that can no longer meet their target behind the others of their partner: they earn no
+    /// goodput, and granting them first would make others late.
     fn demote(&mut self, now_us: MonoTime, index: usize) {
         if self.settings.order == QueueOrder::Fifo {
             return;
@@ -371,33 +378,33 @@
             entry.latest_us = None;
             self.sequence += 1;
             let key = (entry.since_us, self.sequence);
-            let place = Place { partner: index, key, late: true };
-            self.places.insert(entry.request_id, place);
+            let position = Position { partner: index, key, late: true };
+            self.positions.insert(entry.request_id, position);
             queue.late.insert(key, entry);
         }
     }
 
-    fn choose(&self, now_us: MonoTime, index: usize) -> Option<RequestId> {
+    fn select_next(&self, now_us: MonoTime, index: usize) -> Option<RequestId> {
         let queue = &self.partners[index];
         let in_time = queue.in_time.first_key_value().map(|(_, entry)| entry);
         let late = queue.late.first_key_value().map(|(_, entry)| entry);
         let aged = late.is_some_and(|entry| now_us >= entry.since_us + self.settings.ageing_ms);
-        let turn_of_aged = aged && queue.grants.is_multiple_of(self.settings.ageing_every.max(1));
+        let serve_aged = aged && queue.grants.is_multiple_of(self.settings.ageing_every.max(1));
         let chosen = match (in_time, late) {
-            (Some(_), Some(late)) if turn_of_aged => late,
+            (Some(_), Some(late)) if serve_aged => late,
             (Some(entry), _) | (None, Some(entry)) => entry,
             (None, None) => return None,
         };
         Some(chosen.request_id)
     }
 
-    /// Takes out a request whose latest useful time has passed, for a queue that does not serve late ones.
+    /// Removes a request whose latest useful time has passed, for a queue that does not serve late requests.
     pub fn take_expired(&mut self, now_us: MonoTime) -> Option<Waiting<Item>> {
         let expired = self.first_in_queues().filter(|(at_us, _)| *at_us < now_us);
         expired.and_then(|(_, request_id)| self.remove(request_id))
     }
 
-    /// When the first waiting request passes its latest useful time.
+    /// Time at which the first waiting request passes its latest useful time.
     pub fn first_expiry(&self) -> Option<MonoTime> {
         self.first_in_queues().map(|(at_us, _)| at_us)
     }
@@ -408,17 +415,17 @@
         firsts.map(|(key, entry)| (key.0 + Micros(1), entry.request_id)).min()
     }
 
-    /// Empties the queue, for a server that cannot serve.
+    /// Removes all entries in order of request id, for a server that cannot serve.
     pub fn drain(&mut self) -> Vec<Waiting<Item>> {
-        let mut ids = self.places.keys().copied().collect::<Vec<_>>();
+        let mut ids = self.positions.keys().copied().collect::<Vec<_>>();
         ids.sort_unstable();
         ids.into_iter().filter_map(|id| self.remove(id)).collect()
     }
 }
 
-/// Requests looked at for harm done by a newcomer; bounds the cost of one decision. Who stands further back
-/// is hurt by many newcomers, and each of them sees those in front.
-const HARM_LOOKAHEAD: usize = 32;
+/// Maximum number of requests checked for a delay by a new one; limits the cost of one decision. A request
+/// further back is delayed by many new ones, and each of those is checked against the requests in front.
+const DELAY_CHECK_MAX: usize = 32;
 
 fn work_ahead<Item>(queue: &PartnerQueue<Item>, entry: &Waiting<Item>) -> u64 {
     match entry.latest_us {
@@ -434,6 +441,6 @@
     clippy::cast_sign_loss,
     reason = "a span of microseconds times a clamped positive factor"
 )]
-fn stretch(span_us: u64, pace: f64) -> u64 {
-    (span_us as f64 * pace) as u64
+fn scale(span_us: u64, drain_ratio: f64) -> u64 {
+    (span_us as f64 * drain_ratio) as u64
 }
--- a/crates/core/src/slots/ledger.rs
+++ b/crates/core/src/slots/ledger.rs
@@ -1,4 +1,4 @@
-//! The exact account of one server's grants, kept by the daemon that watches it.
+//! Ledger of one server's grants, kept by the daemon that watches the server.
 
 mod grants;
 mod progress;
@@ -9,46 +9,46 @@
 use crate::ids::{BackendServerId, HostId, Incarnation, PartnerId, RequestId};
 use crate::units::{BytesPerSecond, Micros, Millis, MonoTime, Tokens};
 
+use super::drain_ratio::DrainRatio;
 use super::fair_queue::{FairQueue, QueueSettings, Waiting};
-use super::pace::Pace;
 use super::{Ask, AskId, DenyReason, GrantOutcome, GrantPhase, Role, ServerLoad, SlotMessage};
 
 /// Limits of a ledger.
 #[derive(Clone, Copy, Debug)]
 pub struct LedgerSettings {
-    /// Bounds and order of the waiting asks.
+    /// Limits and order of the waiting asks.
     pub queue: QueueSettings,
-    /// Life of a grant that is not renewed. Several times the renewal period, so that two lost messages
-    /// cost nothing; short, because the slots of a daemon that died stay unused for so long.
+    /// Lifetime of a grant that is not renewed. Several renewal periods, so that two lost messages do no
+    /// harm; short, because the slots of a daemon that died stay unused for this time.
     pub grant_ttl_ms: Millis,
-    /// Work granted ahead at a prefill server. It covers the round trips between grant and start, so that
-    /// the server never idles; more would put short prompts behind long ones already granted, and hold
-    /// slots for prompts that are not being read.
+    /// Work granted ahead at a prefill server. Covers the round trips between grant and start, so that the
+    /// server is never idle; more would queue short prompts behind long ones already granted, and hold slots
+    /// for prompts that are not being processed.
     pub prefill_ahead_us: Micros,
     /// Time in which a turn usually gets its slot: two round trips and a queue of messages.
     pub slot_grace_us: Micros,
-    /// Grants outstanding at a prefill server, whatever their estimated work: an estimate that is too low
-    /// must not send a whole queue to the engine.
+    /// Maximum number of outstanding grants at a prefill server, whatever their estimated work: an estimate
+    /// that is too low must not send a whole queue to the engine.
     pub prefill_turns_max: usize,
-    /// Results at a prefill server that wait for the link. With more, prompts are read faster than results
-    /// leave, and the last ones would be evicted.
+    /// Maximum number of results at a prefill server that wait for the link. With more, prompts are processed
+    /// faster than results leave, and the last results would be evicted.
     pub ready_max: usize,
-    /// A new transfer gets this part of the link's free rate, so that a first transfer is fast and a later
-    /// one still finds some.
+    /// Divisor of the link's free rate that gives the share of a new transfer, so that a first transfer is
+    /// fast and a later one still gets some.
     pub link_divisor: u64,
-    /// Smallest part of the link that is worth a grant, as a divisor of its rate.
+    /// Divisor of the link's rate that gives the smallest share worth a grant.
     pub link_parts_max: u64,
-    /// Prefill time for one token until it was observed.
+    /// Prefill time per token until one was observed.
     pub prefill_token_us: Micros,
-    /// Decode time for one token until it was observed.
+    /// Decode time per token until one was observed.
     pub decode_token_us: Micros,
-    /// Consecutive timeouts after which a server is closed. Two, because one can be a lost message.
-    pub strikes_max: u32,
-    /// First time for which a closed server gets no grant; doubled with each failed trial.
+    /// Number of consecutive timeouts that closes a server. Two, because one can be a lost message.
+    pub timeouts_max: u32,
+    /// First period for which a closed server gets no grants; doubled with each failed probe.
     pub reopen_ms: Millis,
-    /// Longest such time: a server that came back is found within it.
+    /// Maximum of that period; a server that recovered is probed within it.
     pub reopen_max_ms: Millis,
-    /// For how long a released request may still show in a load report, which lags.
+    /// Time for which a released request may still appear in load reports, which lag.
     pub report_lag_ms: Millis,
 }
 
@@ -65,7 +65,7 @@
             link_parts_max: 4,
             prefill_token_us: Micros(125),
             decode_token_us: Micros(30_000),
-            strikes_max: 2,
+            timeouts_max: 2,
             reopen_ms: Millis(1_000),
             reopen_max_ms: Millis(30_000),
             report_lag_ms: Millis(2_000),
@@ -73,50 +73,50 @@
     }
 }
 
-/// What the watching daemon has to do.
+/// Action for the watching daemon to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LedgerAction {
     /// Send a message to the daemon on `to`, which may be this one.
     Send {
-        /// Whom.
+        /// Host of the receiving daemon.
         to: HostId,
-        /// What.
+        /// Message to send.
         message: SlotMessage,
     },
-    /// Release the memory that a request holds at the engine: its daemon no longer renews it.
+    /// Release the engine memory of a request whose daemon no longer renews its grant.
     Cancel {
-        /// Which server.
+        /// Server that holds the memory.
         server: BackendServerId,
-        /// Which request.
+        /// Request whose memory is released.
         request_id: RequestId,
     },
-    /// Call `tick` at this time.
+    /// Call [`Ledger::tick`] at this time.
     Wake {
-        /// When.
+        /// Time of the call.
         at_us: MonoTime,
     },
 }
 
-/// What happened at a ledger, counted since it was made.
+/// Event counters of a ledger since its creation.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct LedgerCounters {
     /// Grants given.
     pub grants: u64,
-    /// Grants that nobody renewed.
+    /// Grants that expired without renewal.
     pub expired: u64,
     /// Grants taken over from an earlier watcher.
     pub taken_over: u64,
-    /// Grants over the server's slots, found when a grant was taken over.
+    /// Grants beyond the server's slots, found when a grant was taken over.
     pub over_committed: u64,
-    /// Denied because the partner's share could not serve them in time.
+    /// Asks denied because the partner's share could not serve them in time.
     pub denied_target: u64,
-    /// Denied because the partner's queue was full.
+    /// Asks denied because the partner's queue was full.
     pub denied_full: u64,
-    /// Times that the server was closed as mute.
+    /// Times that the server was closed after consecutive timeouts.
     pub closed: u64,
 }
 
-/// A load report of the server, as it concerns the ledger.
+/// Load report of the server, reduced to what the ledger needs.
 #[derive(Clone, Debug, Default)]
 pub struct HeldReport {
     /// Age of the report.
@@ -125,17 +125,17 @@
     pub held: Vec<RequestId>,
 }
 
-/// Who waits.
+/// Origin of a waiting ask.
 #[derive(Clone, Debug)]
-struct Asker {
-    home: HostId,
+struct AskOrigin {
+    requester: HostId,
     ask: AskId,
     needed_in_us: Option<Micros>,
 }
 
 #[derive(Clone, Debug)]
 struct Held {
-    home: HostId,
+    requester: HostId,
     ask: AskId,
     partner: PartnerId,
     charge_us: Micros,
@@ -145,17 +145,17 @@
     rate_bytes_per_s: BytesPerSecond,
     phase: GrantPhase,
     phase_us: MonoTime,
-    /// Whether the slot is this request's for certain; otherwise it is once another ends.
-    sure: bool,
+    /// Whether the slot is guaranteed; otherwise it becomes so when another grant ends.
+    guaranteed: bool,
     orphan: bool,
 }
 
-/// Account of one server.
+/// Ledger of one server's grants.
 ///
-/// Load: near full, asks from all daemons. Harm prevented: more requests than slots (the engine refuses the
-/// import and the prefill is thrown away) and idle slots while requests wait. It counts its own grants and
-/// not the server's reports, which lag; reports only add what it cannot know, the holdings that remain
-/// from before it became the watcher.
+/// With a nearly full server and asks from all daemons, it prevents more requests than slots (the engine
+/// refuses the import and the prefill is wasted) and slots that are idle while requests wait. It counts its
+/// own grants rather than the server's load reports, which lag; reports only add what it cannot know, the
+/// grants left from before it became the watcher.
 #[derive(Debug)]
 pub struct Ledger {
     settings: LedgerSettings,
@@ -163,39 +163,39 @@
     role: Role,
     slots_total: u32,
     link_bytes_per_s: BytesPerSecond,
-    queue: FairQueue<Asker>,
+    queue: FairQueue<AskOrigin>,
     held: BTreeMap<RequestId, Held>,
-    foreign: HashSet<RequestId>,
+    unaccounted: HashSet<RequestId>,
     released: HashMap<RequestId, MonoTime>,
     token_us: f64,
     observed: bool,
-    pace: Pace,
+    drain_ratio: DrainRatio,
     wake_us: Option<MonoTime>,
-    last_moved_us: MonoTime,
+    last_prefill_end_us: MonoTime,
     since_us: MonoTime,
-    quiet_until_us: MonoTime,
+    takeover_until_us: MonoTime,
     unregistered: HashSet<Incarnation>,
     report_seen: bool,
     leaving: bool,
-    strikes: u32,
+    timeouts: u32,
     closed_until_us: Option<MonoTime>,
-    trial: Option<RequestId>,
+    probe: Option<RequestId>,
     reopen_ms: Millis,
     counters: LedgerCounters,
 }
 
-/// Weight of a new observation of a speed. Four or so observations move the figure, one outlier does not.
+/// Weight of a new speed sample: about four samples move the average, one outlier does not.
 const SPEED_WEIGHT: f64 = 0.3;
-/// Shortest wait for room at a prefill server; guards against waking all the time.
-const MIN_WAIT_US: u64 = 1_000;
-/// Shorter prompts are mostly fixed cost, and say little about the speed.
+/// Minimum delay of a wake-up for room at a prefill server, so that it does not wake continuously.
+const MIN_WAKE_DELAY_US: u64 = 1_000;
+/// Shortest prompt that counts as a speed sample; shorter ones are mostly fixed cost.
 const MIN_OBSERVED_TOKENS: u64 = 64;
-/// A grant is younger than the list of a `Renew` that crosses it on the way.
+/// Time within which a grant may be missing from a `Renew` list that was sent before the grant arrived.
 const RENEW_CROSSING_MS: Millis = Millis(250);
 
 impl Ledger {
-    /// The ledger of a server that this daemon watches from now on. `others` are the lives of the daemons
-    /// that may hold grants of an earlier watcher; empty when there was none.
+    /// Creates the ledger of a server that this daemon starts to watch. `other_daemons` are the incarnations
+    /// of the daemons that may hold grants of an earlier watcher; empty if there was none.
     pub fn new(
         now_us: MonoTime,
         settings: LedgerSettings,
@@ -203,13 +203,13 @@
         role: Role,
         slots_total: u32,
         link_bytes_per_s: BytesPerSecond,
-        others: &[Incarnation],
+        other_daemons: &[Incarnation],
     ) -> Self {
         let token_us = match role {
             Role::Prefill => settings.prefill_token_us,
             Role::Decode => settings.decode_token_us,
         };
-        let quiet_ms = if others.is_empty() { Millis(0) } else { settings.grant_ttl_ms };
+        let takeover_ms = if other_daemons.is_empty() { Millis(0) } else { settings.grant_ttl_ms };
         Self {
             settings,
             server,
@@ -218,21 +218,21 @@
             link_bytes_per_s,
             queue: FairQueue::new(settings.queue),
             held: BTreeMap::new(),
-            foreign: HashSet::new(),
+            unaccounted: HashSet::new(),
             released: HashMap::new(),
             token_us: token_us.0 as f64,
             observed: false,
-            pace: Pace::new(),
+            drain_ratio: DrainRatio::new(),
             wake_us: None,
-            last_moved_us: now_us,
+            last_prefill_end_us: now_us,
             since_us: now_us,
-            quiet_until_us: now_us + quiet_ms,
-            unregistered: others.iter().copied().collect(),
+            takeover_until_us: now_us + takeover_ms,
+            unregistered: other_daemons.iter().copied().collect(),
             report_seen: false,
             leaving: false,
-            strikes: 0,
+            timeouts: 0,
             closed_until_us: None,
-            trial: None,
+            probe: None,
             reopen_ms: settings.reopen_ms,
             counters: LedgerCounters::default(),
         }
@@ -243,27 +243,27 @@
         self.role
     }
 
-    /// What happened so far.
+    /// Event counters since creation.
     pub fn counters(&self) -> LedgerCounters {
         self.counters
     }
 
-    /// Slots or turns in use.
+    /// Number of slots or turns in use, including those known only from load reports.
     pub fn held_len(&self) -> usize {
-        self.held.len() + self.foreign.len()
+        self.held.len() + self.unaccounted.len()
     }
 
-    /// Asks waiting.
+    /// Number of waiting asks.
     pub fn waiting_len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Whether old grants may still be about, so that none is given.
-    pub fn is_quiet(&self, now_us: MonoTime) -> bool {
-        now_us < self.quiet_until_us
+    /// Whether nothing is granted because grants of an earlier watcher may still be in use.
+    pub fn is_taking_over(&self, now_us: MonoTime) -> bool {
+        now_us < self.takeover_until_us
     }
 
-    /// Takes a message of the daemon on `from`.
+    /// Handles a message from the daemon on `from`.
     pub fn handle(
         &mut self,
         now_us: MonoTime,
@@ -276,15 +276,15 @@
             SlotMessage::Ask(ask) => self.ask(now_us, from, ask, actions),
             SlotMessage::Withdraw { request_id, ask, .. } => {
                 if let Some(entry) = self.queue.remove(request_id) {
-                    self.drained(now_us, &entry);
+                    self.record_drain(now_us, &entry);
                 }
                 self.release(now_us, request_id, ask, GrantOutcome::Unused, actions);
             }
-            SlotMessage::Started { request_id, .. } => self.started(now_us, request_id),
+            SlotMessage::Started { request_id, .. } => self.prompt_started(now_us, request_id),
             SlotMessage::Ready { request_id, ask, work_us, work_tokens, .. } => {
-                self.ready(now_us, request_id, ask, work_us, work_tokens, actions);
+                self.prompt_ready(now_us, request_id, ask, work_us, work_tokens, actions);
             }
-            SlotMessage::Moved { request_id, .. } => self.moved(now_us, request_id),
+            SlotMessage::Transferred { request_id, .. } => self.transfer_finished(now_us, request_id),
             SlotMessage::Release { request_id, ask, outcome, .. } => {
                 self.release(now_us, request_id, ask, outcome, actions);
             }
@@ -294,16 +294,16 @@
             | SlotMessage::Confirm { .. }
             | SlotMessage::Deny { .. } => {}
         }
-        self.serve(now_us, actions);
+        self.grant_waiting(now_us, actions);
     }
 
-    /// Expires grants, opens a closed server for a trial, gives what became free.
+    /// Expires grants, lets a closed server be probed, and grants what became free.
     pub fn tick(&mut self, now_us: MonoTime, actions: &mut Vec<LedgerAction>) {
         self.expire(now_us, actions);
-        self.serve(now_us, actions);
+        self.grant_waiting(now_us, actions);
     }
 
-    /// The server says or is said to be leaving, or to be back.
+    /// Sets whether the server is leaving; waiting asks are denied if it is.
     pub fn set_leaving(&mut self, now_us: MonoTime, leaving: bool, actions: &mut Vec<LedgerAction>) {
         self.leaving = leaving;
         if leaving {
@@ -311,7 +311,7 @@
         }
     }
 
-    /// The server's size changed in the host list.
+    /// Adopts the server's slots and link rate from the host list.
     pub fn resize(&mut self, slots_total: u32, link_bytes_per_s: BytesPerSecond) {
         self.slots_total = slots_total;
         self.link_bytes_per_s = link_bytes_per_s;
@@ -320,16 +320,16 @@
     fn ask(&mut self, now_us: MonoTime, from: &HostId, ask: Ask, actions: &mut Vec<LedgerAction>) {
         let request_id = ask.request_id;
         if let Some(held) = self.held.get(&request_id) {
-            // The grant was lost on the way and the daemon asks again.
+            // The grant was lost on the way, and the daemon asks again.
             if held.ask == ask.ask {
                 let message = self.grant_message(now_us, request_id, held);
                 actions.push(LedgerAction::Send { to: from.clone(), message });
             }
             return;
         }
-        // An ask that waits is repeated from time to time and judged again: if it can no longer be served in
-        // time, its caller had better know now than get a late answer. Its age stays.
-        let mut entry = self.waiting(now_us, from, ask);
+        // A waiting ask is repeated periodically and evaluated again: if it can no longer be served in time,
+        // an early refusal is better for its caller than a late answer. Its age is kept.
+        let mut entry = self.waiting_entry(now_us, from, ask);
         if let Some(earlier) = self.queue.remove(request_id) {
             entry.since_us = earlier.since_us;
         }
@@ -339,14 +339,14 @@
         }
         let ask_id = entry.item.ask;
         self.queue.push(entry);
-        self.serve(now_us, actions);
+        self.grant_waiting(now_us, actions);
         if self.queue.get(request_id).is_some() {
-            self.pace.begin(now_us);
-            self.queued(now_us, from, request_id, ask_id, actions);
+            self.drain_ratio.start_busy(now_us);
+            self.send_queued(now_us, from, request_id, ask_id, actions);
         }
     }
 
-    fn queued(
+    fn send_queued(
         &self,
         now_us: MonoTime,
         from: &HostId,
@@ -359,7 +359,7 @@
         actions.push(LedgerAction::Send { to: from.clone(), message });
     }
 
-    fn waiting(&self, now_us: MonoTime, from: &HostId, ask: Ask) -> Waiting<Asker> {
+    fn waiting_entry(&self, now_us: MonoTime, from: &HostId, ask: Ask) -> Waiting<AskOrigin> {
         Waiting {
             request_id: ask.request_id,
             partner: ask.partner,
@@ -367,31 +367,32 @@
             latest_us: ask.slack_us.map(|slack_us| now_us + slack_us),
             work_us: self.work_us(ask.work_tokens),
             charge_us: ask.charge_us,
-            item: Asker { home: from.clone(), ask: ask.ask, needed_in_us: ask.needed_in_us },
+            item: AskOrigin { requester: from.clone(), ask: ask.ask, needed_in_us: ask.needed_in_us },
         }
     }
 
-    /// Decides whether an ask is taken in at all.
+    /// Decides whether an ask is denied before it is queued.
     ///
-    /// Load: more asks than the server can serve. Harm prevented: a queue in which everybody waits past the
-    /// target, so that all work is late work. An ask that its partner's share cannot serve in time is denied
-    /// at once, before any prefill; one whose target is missed already is owed an answer and taken in up to
-    /// the patience of a caller.
-    fn refusal(&self, now_us: MonoTime, entry: &Waiting<Asker>) -> Option<(DenyReason, Micros)> {
+    /// With more asks than the server can serve, a queue in which every ask waits past its target makes all
+    /// work late. An ask that its partner's share cannot serve in time is denied at once, before any prefill;
+    /// one whose target is missed already is still to be answered, and accepted if its wait is within the
+    /// limit for late asks.
+    fn refusal(&self, now_us: MonoTime, entry: &Waiting<AskOrigin>) -> Option<(DenyReason, Micros)> {
         if self.leaving {
             return Some((DenyReason::Leaving, Micros::ZERO));
         }
         if let Some(until_us) = self.closed_until_us {
-            let busy = now_us < until_us || self.trial.is_some() || !self.queue.is_empty();
+            let busy = now_us < until_us || self.probe.is_some() || !self.queue.is_empty();
             return Some((DenyReason::Unhealthy, until_us.since(now_us))).filter(|_| busy);
         }
-        let quiet_us = self.quiet_until_us.since(now_us);
-        if quiet_us > Micros::ZERO {
-            // Says nothing of the load: whoever asks had better look elsewhere, and come back if all are so.
-            return Some((DenyReason::Unhealthy, quiet_us));
+        let takeover_us = self.takeover_until_us.since(now_us);
+        if takeover_us > Micros::ZERO {
+            // Independent of the load: the daemon should try other servers, and retry here if all are in this
+            // state.
+            return Some((DenyReason::Unhealthy, takeover_us));
         }
         let late = entry.latest_us.is_none();
-        let forecast = self.queue.forecast(now_us, entry, self.pace.value());
+        let forecast = self.queue.forecast(now_us, entry, self.drain_ratio.value());
         if self.queue.is_full(&entry.partner, late) {
             return Some((DenyReason::QueueFull, forecast.wait_us));
         }
@@ -402,9 +403,9 @@
         let wait_us = forecast.wait_us + backlog_us;
         let limit_us = match entry.latest_us {
             Some(latest_us) => latest_us.since(now_us),
-            None => self.settings.queue.late_patience_ms.into(),
+            None => self.settings.queue.late_wait_max_ms.into(),
         };
-        if wait_us > limit_us || forecast.harms_earlier {
+        if wait_us > limit_us || forecast.delays_earlier {
             return Some((DenyReason::WouldMissTarget, wait_us.saturating_sub(limit_us)));
         }
         None
@@ -413,7 +414,7 @@
     fn deny(
         &mut self,
         now_us: MonoTime,
-        entry: &Waiting<Asker>,
+        entry: &Waiting<AskOrigin>,
         reason: DenyReason,
         retry_after_us: Micros,
         actions: &mut Vec<LedgerAction>,
@@ -431,7 +432,7 @@
             reason,
             retry_after_ms: retry_after_us.to_millis_ceil(),
         };
-        actions.push(LedgerAction::Send { to: entry.item.home.clone(), message });
+        actions.push(LedgerAction::Send { to: entry.item.requester.clone(), message });
     }
 
     pub(super) fn deny_all(&mut self, now_us: MonoTime, reason: DenyReason, actions: &mut Vec<LedgerAction>) {
@@ -444,12 +445,13 @@
         Micros(round_us(self.token_us * tokens.0 as f64))
     }
 
-    /// State for a reply.
+    /// State of the server to send with a reply.
     pub fn load(&self, now_us: MonoTime) -> ServerLoad {
-        let closed = self.closed_until_us.is_some() || self.is_quiet(now_us);
+        let closed = self.closed_until_us.is_some() || self.is_taking_over(now_us);
         let wait_us = match self.role {
             Role::Prefill => {
-                Micros(round_us(self.queue.work_us().0 as f64 * self.pace.value())) + self.backlog_us(now_us)
+                Micros(round_us(self.queue.work_us().0 as f64 * self.drain_ratio.value()))
+                    + self.backlog_us(now_us)
             }
             Role::Decode => Micros(self.queue.len() as u64 * round_us(self.token_us)),
         };
