--- a/crates/core/src/slots/ledger/grants.rs
+++ b/crates/core/src/slots/ledger/grants.rs
@@ -1,21 +1,21 @@
-//! Giving grants, and the share of the link to those that are ready.
+//! Granting of capacity, and allocation of the link to requests that are ready to transfer.
 
 use crate::ids::RequestId;
 use crate::units::{BytesPerSecond, Micros, MonoTime};
 
-use super::{Asker, Held, Ledger, LedgerAction, MIN_WAIT_US, confirm_message};
+use super::{AskOrigin, Held, Ledger, LedgerAction, MIN_WAKE_DELAY_US, confirm_message};
 use crate::slots::{GrantPhase, Role, SlotMessage, Waiting};
 
 impl Ledger {
-    /// Grants as long as there is room and somebody waits.
-    pub(super) fn serve(&mut self, now_us: MonoTime, actions: &mut Vec<LedgerAction>) {
+    /// Grants waiting asks while there is room.
+    pub(super) fn grant_waiting(&mut self, now_us: MonoTime, actions: &mut Vec<LedgerAction>) {
         self.confirm(now_us, actions);
         while let Some(needed_in_us) = self.queue.peek(now_us).map(|entry| entry.item.needed_in_us) {
             if let Some(at_us) = self.no_grant_until(now_us) {
                 self.wake_at(now_us, at_us, actions);
                 return;
             }
-            if self.trial.is_some() {
+            if self.probe.is_some() {
                 return;
             }
             if !self.has_room(now_us, needed_in_us) {
@@ -29,17 +29,18 @@
         }
     }
 
-    /// A turn becomes free with time alone, a slot only with a message.
+    /// Requests a wake-up for when room is expected. A turn frees up as time passes, a slot only with a
+    /// message.
     pub(super) fn wake_for_room(&mut self, now_us: MonoTime, actions: &mut Vec<LedgerAction>) {
         if self.role == Role::Prefill {
-            let at_us = self.room_at(now_us);
+            let at_us = self.room_expected_at(now_us);
             self.wake_at(now_us, at_us, actions);
         }
     }
 
-    pub(super) fn drained(&mut self, now_us: MonoTime, entry: &Waiting<Asker>) {
+    pub(super) fn record_drain(&mut self, now_us: MonoTime, entry: &Waiting<AskOrigin>) {
         if entry.since_us < now_us {
-            self.pace.drain(now_us, entry.work_us, !self.queue.is_empty());
+            self.drain_ratio.record(now_us, entry.work_us, !self.queue.is_empty());
         }
     }
 
@@ -51,17 +52,22 @@
     }
 
     pub(super) fn no_grant_until(&self, now_us: MonoTime) -> Option<MonoTime> {
-        if now_us < self.quiet_until_us {
-            return Some(self.quiet_until_us);
+        if now_us < self.takeover_until_us {
+            return Some(self.takeover_until_us);
         }
         self.closed_until_us.filter(|&until_us| now_us < until_us)
     }
 
-    pub(super) fn grant(&mut self, now_us: MonoTime, entry: Waiting<Asker>, actions: &mut Vec<LedgerAction>) {
-        self.drained(now_us, &entry);
+    pub(super) fn grant(
+        &mut self,
+        now_us: MonoTime,
+        entry: Waiting<AskOrigin>,
+        actions: &mut Vec<LedgerAction>,
+    ) {
+        self.record_drain(now_us, &entry);
         let request_id = entry.request_id;
         let held = Held {
-            home: entry.item.home.clone(),
+            requester: entry.item.requester.clone(),
             ask: entry.item.ask,
             partner: entry.partner,
             charge_us: entry.charge_us,
@@ -71,16 +77,16 @@
             rate_bytes_per_s: BytesPerSecond::ZERO,
             phase: GrantPhase::Reserved,
             phase_us: now_us,
-            sure: self.role == Role::Prefill || self.sure_len() < self.slots_total as usize,
+            guaranteed: self.role == Role::Prefill || self.guaranteed_len() < self.slots_total as usize,
             orphan: false,
         };
         if self.closed_until_us.is_some() {
-            self.trial = Some(request_id);
+            self.probe = Some(request_id);
         }
         self.counters.grants += 1;
         let message = self.grant_message(now_us, request_id, &held);
         self.held.insert(request_id, held);
-        actions.push(LedgerAction::Send { to: entry.item.home, message });
+        actions.push(LedgerAction::Send { to: entry.item.requester, message });
     }
 
     pub(super) fn grant_message(&self, now_us: MonoTime, request_id: RequestId, held: &Held) -> SlotMessage {
@@ -93,52 +99,53 @@
         }
     }
 
-    /// Starts transfers that are ready, in the order in which they became so.
+    /// Confirms transfers that are ready, in the order in which they became so.
     ///
-    /// Harm prevented: a transfer without a slot is refused by the engine, and one that shares the link with
-    /// too many crawls until the prefill result is evicted at its source. So the share of the link is given
-    /// here, at the last moment: promised earlier, with the turn, it would lie idle for as long as the prompt
-    /// is read.
+    /// A transfer without a slot is refused by the engine, and one that shares the link with too many others
+    /// is so slow that the prefill result is evicted at its source. The share of the link is therefore
+    /// allocated here, at the last moment: allocated with the turn, it would be idle while the prompt is
+    /// processed.
     pub(super) fn confirm(&mut self, now_us: MonoTime, actions: &mut Vec<LedgerAction>) {
-        self.promote();
-        while let Some(rate_bytes_per_s) = self.free_rate() {
-            let ready = self.held.iter_mut().filter(|(_, held)| held.phase == GrantPhase::Ready && held.sure);
+        self.guarantee_freed_slots();
+        while let Some(rate_bytes_per_s) = self.grantable_rate() {
+            let ready =
+                self.held.iter_mut().filter(|(_, held)| held.phase == GrantPhase::Ready && held.guaranteed);
             let Some((&request_id, held)) = ready.min_by_key(|(id, held)| (held.phase_us, **id)) else {
                 return;
             };
-            held.phase = GrantPhase::Moving;
+            held.phase = GrantPhase::Transferring;
             held.phase_us = now_us;
             held.rate_bytes_per_s = rate_bytes_per_s;
-            let to = held.home.clone();
+            let to = held.requester.clone();
             let message = confirm_message(&self.server, request_id, held);
             actions.push(LedgerAction::Send { to, message });
         }
     }
 
-    /// Makes likely slots sure as others become free, the one whose prompt was read first before others:
-    /// its result is evicted first.
-    pub(super) fn promote(&mut self) {
-        while self.sure_len() < self.slots_total as usize {
-            let likely = self.held.iter_mut().filter(|(_, held)| !held.sure);
+    /// Turns likely slots into guaranteed ones as others become free. A grant whose prompt is processed goes
+    /// first, the oldest before others, because its result is evicted first.
+    pub(super) fn guarantee_freed_slots(&mut self) {
+        while self.guaranteed_len() < self.slots_total as usize {
+            let likely = self.held.iter_mut().filter(|(_, held)| !held.guaranteed);
             let order = |held: &Held| (held.phase != GrantPhase::Ready, held.phase_us);
             let Some((_, held)) = likely.min_by_key(|(id, held)| (order(held), **id)) else {
                 return;
             };
-            held.sure = true;
+            held.guaranteed = true;
         }
     }
 
-    /// Slots that are somebody's for certain; never more than there are, but for a change of watcher.
-    pub(super) fn sure_len(&self) -> usize {
-        self.held.values().filter(|held| held.sure).count() + self.foreign.len()
+    /// Number of guaranteed slots; exceeds the server's slots only after a change of watcher.
+    pub(super) fn guaranteed_len(&self) -> usize {
+        self.held.values().filter(|held| held.guaranteed).count() + self.unaccounted.len()
     }
 
     /// Whether one more grant may be given.
     ///
-    /// A slot is sure when there are fewer grants than slots. A request so tight that it says when it needs
-    /// its slot may also have one that is likely: held now, but expected to be free by then. The engine
-    /// is never over-committed by it, because the transfer still waits for the slot; what is risked is the
-    /// prefill, and a class with slack does not take that risk.
+    /// A slot is guaranteed if there are fewer grants than slots. A request so tight that it states when it
+    /// needs its slot may also get a likely one: in use now, but expected to be free by then. This never
+    /// over-commits the engine, because the transfer still waits for the slot; at risk is only the prefill,
+    /// and classes with slack do not take that risk.
     pub(super) fn has_room(&self, now_us: MonoTime, needed_in_us: Option<Micros>) -> bool {
         match self.role {
             Role::Decode => {
@@ -157,7 +164,8 @@
     }
 
     pub(super) fn ending_by(&self, at_us: MonoTime) -> usize {
-        let ending = |held: &&Held| held.phase == GrantPhase::Moved && held.phase_us + held.work_us <= at_us;
+        let ending =
+            |held: &&Held| held.phase == GrantPhase::Transferred && held.phase_us + held.work_us <= at_us;
         self.held.values().filter(ending).count()
     }
 
@@ -165,8 +173,8 @@
         self.held.values().filter(|held| held.phase <= GrantPhase::Running)
     }
 
-    /// Work sent to a prefill server and not yet done. Work that overran its estimate is expected to take as long
-    /// again: a server that hangs would look idle otherwise, and draw the whole queue.
+    /// Work sent to a prefill server and not yet done. Work that overran its estimate is expected to take as
+    /// long again: otherwise a server that hangs would look idle and attract the whole queue.
     pub(super) fn backlog_us(&self, now_us: MonoTime) -> Micros {
         if self.role == Role::Decode {
             return Micros::ZERO;
@@ -177,12 +185,12 @@
             running_us += held.work_us.0;
             first_us = Some(first_us.map_or(held.phase_us, |first: MonoTime| first.min(held.phase_us)));
         }
-        let spent_us = first_us.map_or(0, |first_us| now_us.since(first_us.max(self.last_moved_us)).0);
+        let spent_us = first_us.map_or(0, |first_us| now_us.since(first_us.max(self.last_prefill_end_us)).0);
         Micros(running_us.abs_diff(spent_us))
     }
 
-    /// Work of turns that still wait for their slots: of all, or only of those granted a moment ago, which
-    /// will start at once if their slot is free.
+    /// Work of turns whose prompt was not sent yet because they wait for their slots: all of them, or with
+    /// `only_fresh` only those granted recently, which start at once if their slot is free.
     pub(super) fn reserved_us(&self, now_us: MonoTime, only_fresh: bool) -> Micros {
         let grace_us = self.settings.slot_grace_us;
         let reserved = self.turns().filter(|held| {
@@ -191,21 +199,21 @@
         Micros(reserved.map(|held| held.work_us.0).sum())
     }
 
-    /// Work that the server has or will have in a moment. A turn whose slot is not to be had at once does not
-    /// count: the server would idle beside it, and a request of another partner wait for nothing.
+    /// Work that the server has or is about to get. A turn whose slot is not available at once is not
+    /// counted: the server would stay idle, and requests of other partners would wait for nothing.
     pub(super) fn ahead_us(&self, now_us: MonoTime) -> Micros {
         self.backlog_us(now_us) + self.reserved_us(now_us, true)
     }
 
-    pub(super) fn room_at(&self, now_us: MonoTime) -> MonoTime {
+    pub(super) fn room_expected_at(&self, now_us: MonoTime) -> MonoTime {
         let left_us = self.ahead_us(now_us).saturating_sub(self.settings.prefill_ahead_us);
-        now_us + Micros(left_us.0.max(MIN_WAIT_US))
+        now_us + Micros(left_us.0.max(MIN_WAKE_DELAY_US))
     }
 
-    /// Share of the link for one more transfer, or `None` while too many share it: a transfer that crawls
-    /// outlasts the prefill result at its source.
-    pub(super) fn free_rate(&self) -> Option<BytesPerSecond> {
-        let moving = self.held.values().filter(|held| held.phase == GrantPhase::Moving);
+    /// Link rate for one more transfer; `None` while too many share the link, because a transfer that is too
+    /// slow is overtaken by the eviction of the prefill result at its source.
+    pub(super) fn grantable_rate(&self) -> Option<BytesPerSecond> {
+        let moving = self.held.values().filter(|held| held.phase == GrantPhase::Transferring);
         let used = moving.map(|held| held.rate_bytes_per_s.0).sum::<u64>();
         let free = self.link_bytes_per_s.0.saturating_sub(used);
         let smallest = self.link_bytes_per_s.0 / self.settings.link_parts_max.max(1);
--- a/crates/core/src/slots/ledger/progress.rs
+++ b/crates/core/src/slots/ledger/progress.rs
@@ -1,4 +1,4 @@
-//! What becomes of grants: how far they have come, how they end, what that says of the server.
+//! Progress and end of grants, and what they show about the server's speed and health.
 
 use crate::ids::RequestId;
 use crate::units::{Micros, Millis, MonoTime, Tokens};
@@ -7,14 +7,14 @@
 use crate::slots::{AskId, DenyReason, GrantOutcome, GrantPhase, Role};
 
 impl Ledger {
-    pub(super) fn started(&mut self, now_us: MonoTime, request_id: RequestId) {
+    pub(super) fn prompt_started(&mut self, now_us: MonoTime, request_id: RequestId) {
         if let Some(held) = self.held.get_mut(&request_id).filter(|held| held.phase == GrantPhase::Reserved) {
             held.phase = GrantPhase::Running;
             held.phase_us = now_us;
         }
     }
 
-    pub(super) fn ready(
+    pub(super) fn prompt_ready(
         &mut self,
         now_us: MonoTime,
         request_id: RequestId,
@@ -27,16 +27,17 @@
             return;
         };
         held.expires_us = now_us + self.settings.grant_ttl_ms;
-        if held.phase == GrantPhase::Moving {
-            // The confirmation was lost on the way and the daemon asks again.
-            let to = held.home.clone();
+        if held.phase == GrantPhase::Transferring {
+            // The confirmation was lost, and the daemon asks again.
+            let to = held.requester.clone();
             let message = confirm_message(&self.server, request_id, held);
             actions.push(LedgerAction::Send { to, message });
         }
         if held.phase == GrantPhase::Ready {
-            // It waits for the link or its slot. To hear so tells the daemon that its watcher lives.
-            let home = held.home.clone();
-            self.queued(now_us, &home, request_id, ask, actions);
+            // The transfer waits for the link or its slot. The reply shows the daemon that the watcher is
+            // alive.
+            let requester = held.requester.clone();
+            self.send_queued(now_us, &requester, request_id, ask, actions);
             return;
         }
         if held.phase > GrantPhase::Running {
@@ -45,24 +46,24 @@
         held.phase = GrantPhase::Ready;
         held.phase_us = now_us;
         if self.role == Role::Prefill {
-            self.prefill_ended(now_us, work_us, work_tokens);
+            self.prefill_finished(now_us, work_us, work_tokens);
         }
     }
 
-    pub(super) fn prefill_ended(&mut self, now_us: MonoTime, work_us: Micros, work_tokens: Tokens) {
-        self.healthy();
-        // The server reads one prompt after the other: the time since the one before bounds what this one
-        // took, and leaves out its wait behind it.
-        let previous_us = std::mem::replace(&mut self.last_moved_us, now_us);
+    pub(super) fn prefill_finished(&mut self, now_us: MonoTime, work_us: Micros, work_tokens: Tokens) {
+        self.mark_healthy();
+        // The server processes one prompt at a time: the time since the previous one ended is an upper bound
+        // of this one's service time that excludes its wait behind the previous one.
+        let previous_us = std::mem::replace(&mut self.last_prefill_end_us, now_us);
         let service_us = work_us.0.min(now_us.since(previous_us).0);
         if work_tokens.0 >= MIN_OBSERVED_TOKENS {
             self.observe_speed(Micros(service_us / work_tokens.0));
         }
     }
 
-    pub(super) fn moved(&mut self, now_us: MonoTime, request_id: RequestId) {
+    pub(super) fn transfer_finished(&mut self, now_us: MonoTime, request_id: RequestId) {
         if let Some(held) = self.held.get_mut(&request_id) {
-            held.phase = GrantPhase::Moved;
+            held.phase = GrantPhase::Transferred;
             held.phase_us = now_us;
             held.expires_us = now_us + self.settings.grant_ttl_ms;
         }
@@ -95,37 +96,37 @@
             return;
         }
         self.released.insert(request_id, now_us);
-        if self.trial == Some(request_id) {
-            self.trial = None;
+        if self.probe == Some(request_id) {
+            self.probe = None;
         }
         match outcome {
-            GrantOutcome::Done => self.healthy(),
+            GrantOutcome::Done => self.mark_healthy(),
             GrantOutcome::Unused => self.queue.refund(&held.partner, held.charge_us),
-            GrantOutcome::TimedOut | GrantOutcome::Failed => self.strike(now_us, actions),
+            GrantOutcome::TimedOut | GrantOutcome::Failed => self.record_timeout(now_us, actions),
             GrantOutcome::Abandoned => {}
         }
     }
 
-    pub(super) fn healthy(&mut self) {
-        self.trial = None;
-        self.strikes = 0;
+    pub(super) fn mark_healthy(&mut self) {
+        self.probe = None;
+        self.timeouts = 0;
         self.closed_until_us = None;
         self.reopen_ms = self.settings.reopen_ms;
     }
 
-    /// Counts a timeout against the server. Harm prevented: a server that takes requests and never answers
-    /// looks the least loaded and draws all work; a health check that it answers does not show it. After a
-    /// while a single request tries it; only its success opens the server again.
-    pub(super) fn strike(&mut self, now_us: MonoTime, actions: &mut Vec<LedgerAction>) {
-        self.strikes += 1;
-        if self.strikes < self.settings.strikes_max {
+    /// Counts a timeout or failure against the server and closes it at the limit. A server that accepts
+    /// requests and never answers looks the least loaded and attracts all work, while it still passes health
+    /// checks. After a delay a single request probes it, and only its success reopens the server.
+    pub(super) fn record_timeout(&mut self, now_us: MonoTime, actions: &mut Vec<LedgerAction>) {
+        self.timeouts += 1;
+        if self.timeouts < self.settings.timeouts_max {
             return;
         }
         self.counters.closed += 1;
         self.closed_until_us = Some(now_us + self.reopen_ms);
         self.reopen_ms = Millis((self.reopen_ms.0 * 2).min(self.settings.reopen_max_ms.0));
-        // One more timeout after the trial closes it again.
-        self.strikes = self.settings.strikes_max - 1;
+        // One more timeout after the probe closes it again.
+        self.timeouts = self.settings.timeouts_max - 1;
         self.deny_all(now_us, DenyReason::Unhealthy, actions);
     }
 }
--- a/crates/core/src/slots/ledger/renewal.rs
+++ b/crates/core/src/slots/ledger/renewal.rs
@@ -1,4 +1,4 @@
-//! Grants over time: renewed, expired, taken over from an earlier watcher, compared with load reports.
+//! Renewal, expiry and takeover of grants, and their reconciliation with load reports.
 
 use std::collections::HashSet;
 
@@ -9,12 +9,12 @@
 use crate::slots::{HeldGrant, Role};
 
 impl Ledger {
-    /// Takes a load report of the server.
+    /// Handles a load report of the server.
     ///
-    /// Two things go wrong without it: requests of a daemon that died hold slots that no ledger knows, and
-    /// an expired grant would be granted again while the engine still works on it. So holdings that are
-    /// reported but not on the account count as taken until a later report lacks them, and an orphan is
-    /// struck off only then.
+    /// Covers two cases that the ledger cannot see itself: requests of a daemon that died hold slots unknown
+    /// to any ledger, and an expired grant would be granted again while the engine still works on it.
+    /// Therefore slots that are reported but not in the ledger count as taken until a later report lacks
+    /// them, and an orphaned grant is dropped only then.
     pub fn report(&mut self, now_us: MonoTime, report: &HeldReport, actions: &mut Vec<LedgerAction>) {
         let as_of_us = MonoTime(now_us.0.saturating_sub(report.as_of_us.0));
         let lag_ms = self.settings.report_lag_ms;
@@ -23,30 +23,30 @@
         self.held.retain(|id, held| !held.orphan || held.expires_us >= as_of_us || reported.contains(id));
         if self.role == Role::Decode {
             let unknown = reported.into_iter();
-            self.foreign =
+            self.unaccounted =
                 unknown.filter(|id| !self.held.contains_key(id) && !self.released.contains_key(id)).collect();
         }
         if as_of_us >= self.since_us {
             self.report_seen = true;
-            self.end_quiet(now_us);
+            self.finish_takeover(now_us);
         }
-        self.serve(now_us, actions);
+        self.grant_waiting(now_us, actions);
     }
 
-    /// A daemon's life ended: nobody will register its grants. What it holds stays on the account until it
-    /// expires and the server no longer reports it.
-    pub fn forget_home(&mut self, now_us: MonoTime, incarnation: Incarnation) {
+    /// Handles the end of a daemon's incarnation, whose grants nobody will register any more. Its known
+    /// grants stay in the ledger until they expire and the server no longer reports them.
+    pub fn forget_daemon(&mut self, now_us: MonoTime, incarnation: Incarnation) {
         self.unregistered.remove(&incarnation);
-        self.end_quiet(now_us);
+        self.finish_takeover(now_us);
     }
 
-    /// Quiet time after a change of watcher. Two things must have happened before the same slot may be
-    /// granted again: each living daemon has registered its grants, and a load report taken since has shown
-    /// what the dead ones hold. If either stays away, grants of the earlier watcher have run out after one
-    /// life of a grant anyway.
-    pub(super) fn end_quiet(&mut self, now_us: MonoTime) {
+    /// Ends the takeover period after a change of watcher once it is safe to grant the same slots again: each
+    /// live daemon has registered its grants, and a load report taken since has shown what dead ones hold. If
+    /// either does not happen, the grants of the earlier watcher have expired after one grant lifetime
+    /// anyway.
+    pub(super) fn finish_takeover(&mut self, now_us: MonoTime) {
         if self.unregistered.is_empty() && (self.report_seen || self.role == Role::Prefill) {
-            self.quiet_until_us = self.quiet_until_us.min(now_us);
+            self.takeover_until_us = self.takeover_until_us.min(now_us);
         }
     }
 
@@ -59,7 +59,8 @@
     ) {
         let expires_us = now_us + self.settings.grant_ttl_ms;
         let listed = list.iter().map(|grant| grant.request_id).collect::<HashSet<_>>();
-        // A release was lost: the daemon no longer lists a grant that is old enough for it to know of.
+        // Drops grants whose release was lost: the daemon does not list a grant that is old enough for it to
+        // know.
         self.held.retain(|id, held| {
             id.incarnation != incarnation
                 || listed.contains(id)
@@ -67,7 +68,7 @@
         });
         for grant in list {
             self.observe_speed(grant.token_us);
-            self.foreign.remove(&grant.request_id);
+            self.unaccounted.remove(&grant.request_id);
             if let Some(held) = self.held.get_mut(&grant.request_id) {
                 held.expires_us = expires_us;
                 held.phase = held.phase.max(grant.phase);
@@ -76,7 +77,7 @@
             self.take_over(now_us, from, grant);
         }
         if self.unregistered.remove(&incarnation) {
-            self.end_quiet(now_us);
+            self.finish_takeover(now_us);
         }
     }
 
@@ -86,11 +87,11 @@
         }
         self.counters.taken_over += 1;
         if self.role == Role::Decode && self.held_len() >= self.slots_total as usize {
-            // Two watchers granted at the same time. The engine refuses the one too many.
+            // Two watchers granted at the same time. The engine refuses the surplus request.
             self.counters.over_committed += 1;
         }
         let held = Held {
-            home: from.clone(),
+            requester: from.clone(),
             ask: grant.ask,
             partner: grant.partner,
             charge_us: Micros::ZERO,
@@ -100,7 +101,7 @@
             rate_bytes_per_s: grant.rate_bytes_per_s,
             phase: grant.phase,
             phase_us: now_us,
-            sure: true,
+            guaranteed: true,
             orphan: false,
         };
         self.held.insert(grant.request_id, held);
@@ -113,8 +114,8 @@
             if held.orphan || now_us < held.expires_us {
                 continue;
             }
-            if self.trial == Some(request_id) {
-                self.trial = None;
+            if self.probe == Some(request_id) {
+                self.probe = None;
             }
             held.orphan = true;
             counters.expired += 1;
--- a/crates/core/src/slots/watcher.rs
+++ b/crates/core/src/slots/watcher.rs
@@ -1,4 +1,4 @@
-//! The ledgers of the servers that one daemon watches.
+//! Ledgers of the servers that one daemon watches.
 
 use std::collections::BTreeMap;
 
@@ -17,21 +17,21 @@
 }
 
 impl Watcher {
-    /// Watches nothing yet.
+    /// Creates a watcher without servers.
     pub fn new(settings: LedgerSettings) -> Self {
         Self { settings, ledgers: BTreeMap::new() }
     }
 
-    /// Watches `server` from now on, or adopts its new size. `others` are the lives of the living daemons of
-    /// the region when another daemon may have watched it before.
-    pub fn own(
+    /// Starts to watch `server`, or adopts its new size. `other_daemons` are the incarnations of the region's
+    /// live daemons if another daemon may have watched the server before.
+    pub fn watch(
         &mut self,
         now_us: MonoTime,
         server: &BackendServerId,
         role: Role,
         slots_total: u32,
         link_bytes_per_s: BytesPerSecond,
-        others: &[Incarnation],
+        other_daemons: &[Incarnation],
     ) {
         if let Some(ledger) = self.ledgers.get_mut(server)
             && ledger.role() == role
@@ -41,34 +41,35 @@
         }
         let settings = self.settings;
         let ledger =
-            Ledger::new(now_us, settings, server.clone(), role, slots_total, link_bytes_per_s, others);
+            Ledger::new(now_us, settings, server.clone(), role, slots_total, link_bytes_per_s, other_daemons);
         self.ledgers.insert(server.clone(), ledger);
     }
 
-    /// Another daemon watches `server` from now on. Those who wait are told to ask there.
-    pub fn disown(&mut self, now_us: MonoTime, server: &BackendServerId, actions: &mut Vec<LedgerAction>) {
+    /// Stops watching `server`, which another daemon watches now. Waiting asks are denied, so that their
+    /// daemons ask there.
+    pub fn unwatch(&mut self, now_us: MonoTime, server: &BackendServerId, actions: &mut Vec<LedgerAction>) {
         if let Some(mut ledger) = self.ledgers.remove(server) {
             ledger.deny_all(now_us, DenyReason::NotWatching, actions);
         }
     }
 
-    /// The ledger of `server`, if it is watched here.
+    /// The ledger of `server`; `None` if it is not watched here.
     pub fn ledger(&self, server: &BackendServerId) -> Option<&Ledger> {
         self.ledgers.get(server)
     }
 
-    /// The ledger of `server`, to tell it a load report or a sign.
+    /// Mutable access to the ledger of `server`, to pass on load reports and health changes.
     pub fn ledger_mut(&mut self, server: &BackendServerId) -> Option<&mut Ledger> {
         self.ledgers.get_mut(server)
     }
 
-    /// The servers watched here.
+    /// The watched servers, ordered by id.
     pub fn servers(&self) -> impl Iterator<Item = &BackendServerId> {
         self.ledgers.keys()
     }
 
-    /// Takes a message of the daemon on `from`. An ask for a server that is not watched here is denied at
-    /// once, so that the daemon resolves the watcher again instead of waiting for a timeout.
+    /// Handles a message from the daemon on `from`. An ask for a server that is not watched here is denied at
+    /// once, so that the daemon looks up the watcher again instead of waiting for a timeout.
     pub fn handle(
         &mut self,
         now_us: MonoTime,
@@ -95,7 +96,7 @@
         actions.push(LedgerAction::Send { to: from.clone(), message });
     }
 
-    /// Takes a load report of `server`.
+    /// Handles a load report of `server`.
     pub fn report(
         &mut self,
         now_us: MonoTime,
@@ -108,14 +109,14 @@
         }
     }
 
-    /// A daemon's life ended.
-    pub fn forget_home(&mut self, now_us: MonoTime, incarnation: Incarnation) {
+    /// Handles the end of a daemon's incarnation.
+    pub fn forget_daemon(&mut self, now_us: MonoTime, incarnation: Incarnation) {
         for ledger in self.ledgers.values_mut() {
-            ledger.forget_home(now_us, incarnation);
+            ledger.forget_daemon(now_us, incarnation);
         }
     }
 
-    /// Lets time pass at all ledgers.
+    /// Calls [`Ledger::tick`] for all ledgers.
     pub fn tick(&mut self, now_us: MonoTime, actions: &mut Vec<LedgerAction>) {
         for ledger in self.ledgers.values_mut() {
             ledger.tick(now_us, actions);
--- a/crates/core/src/ticket.rs
+++ b/crates/core/src/ticket.rs
@@ -1,28 +1,29 @@
-//! Tickets: a caller asks one daemon for a ticket first, and only that life of that daemon may run the request.
+//! Tickets: a caller first obtains a ticket from one daemon, and only that incarnation of that daemon may run
+//! the request.
 //!
-//! A ticket needs no agreement among daemons, so it holds through any cut and any outage of the log. Its
-//! price is that nobody but the daemon which gave it can serve it.
+//! A ticket needs no agreement between daemons, so it works through any network partition and any outage of
+//! the log. In exchange, only the daemon that issued it can serve it.
 
 use std::collections::{HashMap, VecDeque};
 use std::fmt;
 use std::str::FromStr;
 use std::sync::Arc;
 
-use crate::claim::{AnswerMemory, BodyDigest, FinishedAs, StoredAnswer};
+use crate::claim::{AnswerCache, BodyDigest, RunOutcome, StoredAnswer};
 use crate::ids::{HostId, Incarnation, ParseIdError, PartnerId};
 use crate::units::{Bytes, Millis, MonoTime};
 
-/// Separates the parts of a ticket's text; no host's name holds it.
+/// Separator of the parts of a ticket's text; host names never contain it.
 const SEPARATOR: char = '~';
 
-/// Names the daemon's life that alone may run a request.
+/// Identifies the daemon incarnation that alone may run a request.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Ticket {
-    /// The host that the daemon runs on.
+    /// Host of the issuing daemon.
     pub host: HostId,
-    /// Its life.
+    /// Incarnation of the issuing daemon.
     pub incarnation: Incarnation,
-    /// Counter in that life.
+    /// Sequence number within that incarnation, starting at 1.
     pub sequence: u64,
 }
 
@@ -47,18 +48,19 @@
     }
 }
 
-/// Bounds on tickets.
+/// Limits of tickets.
 #[derive(Clone, Copy, Debug)]
 pub struct TicketSettings {
-    /// Time from the ticket to the start of its request.
+    /// Time from the issue of the ticket within which its request must start.
     pub start_within_ms: Millis,
-    /// Time that the end of its request is remembered after that.
+    /// Time after that for which the outcome of the request is retained.
     pub remember_ms: Millis,
-    /// Tickets that one partner may have outstanding or remembered; another partner's flood takes none of them.
+    /// Maximum number of tickets of one partner that are outstanding or retained; limits a flood to its own
+    /// partner.
     pub partner_tickets: usize,
-    /// Largest answer kept for second callers.
+    /// Maximum size of one cached response.
     pub answer_bytes: Bytes,
-    /// All answers kept for second callers.
+    /// Maximum total size of the cached responses.
     pub answers_bytes: Bytes,
 }
 
@@ -74,38 +76,39 @@
     }
 }
 
-/// A partner has as many tickets as it may.
+/// The partner's limit of tickets is reached.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("partner has as many tickets as it may have")]
+#[error("partner has reached its ticket limit")]
 pub struct TooManyTickets;
 
-/// What to do with a request that came with a ticket.
+/// What to do with a request that carries a ticket.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum TicketDecision {
-    /// Run it, once.
+    /// Run the request, once.
     Run,
-    /// Its request still runs.
+    /// The ticket's request is still running.
     InProgress,
-    /// Its request was answered so.
+    /// The ticket's request received this response.
     Answered(Arc<StoredAnswer>),
-    /// Its request was answered; the answer is no longer kept.
-    AnswerGone,
-    /// Its request may have run.
+    /// The ticket's request was answered, and its response was evicted from the cache.
+    AnswerEvicted,
+    /// The ticket's request may have run.
     Unknown,
-    /// It was used for another request.
-    OtherBody,
-    /// It ran out before a request came. Nothing ran.
+    /// The ticket was used with a different request.
+    BodyMismatch,
+    /// The ticket expired before a request used it. Nothing ran.
     Expired,
-    /// This daemon did not give it to this partner. Nothing ran.
-    NotGiven,
-    /// Another daemon gave it: only that one can run the request or say what became of it.
-    Elsewhere,
-    /// An earlier life of this host's daemon gave it, and with it went the knowledge of what ran.
-    HolderGone,
+    /// This daemon did not issue the ticket to this partner. Nothing ran.
+    NotIssued,
+    /// Another host's daemon issued the ticket; only that daemon can run the request or report its outcome.
+    OtherHost,
+    /// An earlier incarnation of this host's daemon issued the ticket, and what ran under it is no longer
+    /// known.
+    IssuerReplaced,
 }
 
 #[derive(Clone, Debug)]
-enum Use {
+enum TicketState {
     Unused,
     Running(BodyDigest),
     Answered(BodyDigest),
@@ -113,46 +116,46 @@
 }
 
 #[derive(Clone, Debug)]
-struct Given {
+struct IssuedTicket {
     partner: PartnerId,
     start_by_us: MonoTime,
-    used: Use,
+    state: TicketState,
 }
 
-/// The tickets that one daemon's life has given.
+/// Tickets issued by one daemon incarnation.
 #[derive(Debug)]
-pub struct TicketDesk {
+pub struct TicketIssuer {
     host: HostId,
     incarnation: Incarnation,
     settings: TicketSettings,
     last_sequence: u64,
-    given: HashMap<u64, Given>,
+    issued: HashMap<u64, IssuedTicket>,
     by_age: VecDeque<u64>,
     per_partner: HashMap<PartnerId, usize>,
-    answers: AnswerMemory<u64>,
+    answers: AnswerCache<u64>,
 }
 
-impl TicketDesk {
-    /// The desk of the daemon `incarnation` on `host`.
+impl TicketIssuer {
+    /// Creates the issuer of the daemon `incarnation` on `host`.
     pub fn new(host: HostId, incarnation: Incarnation, settings: TicketSettings) -> Self {
         Self {
             host,
             incarnation,
             settings,
             last_sequence: 0,
-            given: HashMap::new(),
+            issued: HashMap::new(),
             by_age: VecDeque::new(),
             per_partner: HashMap::new(),
-            answers: AnswerMemory::new(settings.answer_bytes, settings.answers_bytes),
+            answers: AnswerCache::new(settings.answer_bytes, settings.answers_bytes),
         }
     }
 
-    /// Gives a ticket.
+    /// Issues a ticket to `partner`.
     ///
     /// # Errors
     ///
-    /// [`TooManyTickets`].
-    pub fn give(&mut self, now_us: MonoTime, partner: &PartnerId) -> Result<Ticket, TooManyTickets> {
+    /// [`TooManyTickets`] if the partner's limit is reached.
+    pub fn issue(&mut self, now_us: MonoTime, partner: &PartnerId) -> Result<Ticket, TooManyTickets> {
         self.expire(now_us);
         let count = self.per_partner.entry(partner.clone()).or_default();
         if *count >= self.settings.partner_tickets {
@@ -162,12 +165,16 @@
         self.last_sequence += 1;
         let sequence = self.last_sequence;
         let start_by_us = now_us + self.settings.start_within_ms;
-        self.given.insert(sequence, Given { partner: partner.clone(), start_by_us, used: Use::Unused });
+        self.issued.insert(
+            sequence,
+            IssuedTicket { partner: partner.clone(), start_by_us, state: TicketState::Unused },
+        );
         self.by_age.push_back(sequence);
         Ok(Ticket { host: self.host.clone(), incarnation: self.incarnation, sequence })
     }
 
-    /// A request came with a ticket. `Run` is said once, until the request is proven not to have run.
+    /// Handles a request that carries a ticket. `Run` is returned once, unless the request is proven not to
+    /// have run.
     pub fn begin(
         &mut self,
         now_us: MonoTime,
@@ -176,55 +183,57 @@
         digest: BodyDigest,
     ) -> TicketDecision {
         if ticket.host != self.host {
-            return TicketDecision::Elsewhere;
+            return TicketDecision::OtherHost;
         }
         if ticket.incarnation != self.incarnation {
-            return TicketDecision::HolderGone;
+            return TicketDecision::IssuerReplaced;
         }
         if ticket.sequence == 0 || ticket.sequence > self.last_sequence {
-            return TicketDecision::NotGiven;
+            return TicketDecision::NotIssued;
         }
-        // What is no longer remembered may have run.
-        let Some(given) = self.given.get_mut(&ticket.sequence) else {
+        // A ticket that is no longer retained may have run.
+        let Some(issued) = self.issued.get_mut(&ticket.sequence) else {
             return TicketDecision::Unknown;
         };
-        if given.partner != *partner {
-            return TicketDecision::NotGiven;
+        if issued.partner != *partner {
+            return TicketDecision::NotIssued;
         }
-        match given.used {
-            Use::Unused if given.start_by_us <= now_us => TicketDecision::Expired,
-            Use::Unused => {
-                given.used = Use::Running(digest);
+        match issued.state {
+            TicketState::Unused if issued.start_by_us <= now_us => TicketDecision::Expired,
+            TicketState::Unused => {
+                issued.state = TicketState::Running(digest);
                 TicketDecision::Run
             }
-            Use::Running(first) | Use::Answered(first) | Use::Unknown(first) if first != digest => {
-                TicketDecision::OtherBody
+            TicketState::Running(first) | TicketState::Answered(first) | TicketState::Unknown(first)
+                if first != digest =>
+            {
+                TicketDecision::BodyMismatch
             }
-            Use::Running(_) => TicketDecision::InProgress,
-            Use::Unknown(_) => TicketDecision::Unknown,
-            Use::Answered(_) => self
+            TicketState::Running(_) => TicketDecision::InProgress,
+            TicketState::Unknown(_) => TicketDecision::Unknown,
+            TicketState::Answered(_) => self
                 .answers
                 .get(&ticket.sequence)
-                .map_or(TicketDecision::AnswerGone, |answer| TicketDecision::Answered(Arc::clone(answer))),
+                .map_or(TicketDecision::AnswerEvicted, |answer| TicketDecision::Answered(Arc::clone(answer))),
         }
     }
 
-    /// The request of a ticket ended. Only the first end counts.
-    pub fn finish(&mut self, ticket: &Ticket, finished: FinishedAs) {
+    /// Records how the request of a ticket ended. Only the first result counts.
+    pub fn finish(&mut self, ticket: &Ticket, finished: RunOutcome) {
         if ticket.host != self.host || ticket.incarnation != self.incarnation {
             return;
         }
-        let Some(given) = self.given.get_mut(&ticket.sequence) else {
+        let Some(issued) = self.issued.get_mut(&ticket.sequence) else {
             return;
         };
-        let Use::Running(digest) = given.used else { return };
+        let TicketState::Running(digest) = issued.state else { return };
         match finished {
-            FinishedAs::NotRun => given.used = Use::Unused,
-            FinishedAs::Unknown => given.used = Use::Unknown(digest),
-            FinishedAs::Answered(answer) => {
-                given.used = Use::Answered(digest);
+            RunOutcome::NotRun => issued.state = TicketState::Unused,
+            RunOutcome::Unknown => issued.state = TicketState::Unknown(digest),
+            RunOutcome::Answered(answer) => {
+                issued.state = TicketState::Answered(digest);
                 if let Some(answer) = answer {
-                    self.answers.keep(ticket.sequence, answer);
+                    self.answers.insert(ticket.sequence, answer);
                 }
             }
         }
@@ -232,25 +241,25 @@
 
     fn expire(&mut self, now_us: MonoTime) {
         while let Some(&oldest) = self.by_age.front() {
-            let Some(given) = self.given.get(&oldest) else {
+            let Some(issued) = self.issued.get(&oldest) else {
                 self.by_age.pop_front();
                 continue;
             };
-            let forget_at_us = given.start_by_us + self.settings.remember_ms;
-            if forget_at_us > now_us || matches!(given.used, Use::Running(_)) {
+            let remove_at_us = issued.start_by_us + self.settings.remember_ms;
+            if remove_at_us > now_us || matches!(issued.state, TicketState::Running(_)) {
                 return;
             }
-            self.forget(oldest);
+            self.remove(oldest);
         }
     }
 
-    fn forget(&mut self, sequence: u64) {
+    fn remove(&mut self, sequence: u64) {
         self.by_age.pop_front();
-        self.answers.forget(&sequence);
-        let Some(given) = self.given.remove(&sequence) else {
+        self.answers.remove(&sequence);
+        let Some(issued) = self.issued.remove(&sequence) else {
             return;
         };
-        if let Some(count) = self.per_partner.get_mut(&given.partner) {
+        if let Some(count) = self.per_partner.get_mut(&issued.partner) {
             *count = count.saturating_sub(1);
         }
     }
--- a/crates/core/tests/outcomes/attempts.rs
+++ b/crates/core/tests/outcomes/attempts.rs
@@ -1,80 +1,80 @@
-use hibiscusvale_core::outcome::{AttemptEnd, Attempts, NoRetry, Outcome, Repeatability};
+use hibiscusvale_core::outcome::{AttemptOutcome, Attempts, Outcome, Repeatability, RetryRefusal};
 use rstest::rstest;
 
-/// A connection is refused, or a server says that it is leaving. The caller notices nothing: another server
-/// gets the request, for it is proven that none has it.
+/// Guards against failing a request that can safely be retried: the connection is refused or the server
+/// states that it is leaving, so it is proven that no server has the request.
 #[rstest]
-fn proof_permits_another_attempt(
+fn retries_when_proven_not_run(
     #[values(Repeatability::AtMostOnce, Repeatability::Repeatable)] repeatability: Repeatability,
-    #[values(AttemptEnd::NotSent, AttemptEnd::Declined)] end: AttemptEnd,
+    #[values(AttemptOutcome::NotSent, AttemptOutcome::Declined)] end: AttemptOutcome,
 ) {
     let mut attempts = Attempts::new(repeatability, 2);
     attempts.begin().expect("first");
     assert!(!attempts.end(end));
     attempts.begin().expect("second");
-    assert!(attempts.end(AttemptEnd::Answered));
+    assert!(attempts.end(AttemptOutcome::Answered));
     assert_eq!(attempts.report(), Outcome::Answered);
 }
 
-/// The connection breaks after a byte was written. A booking may stand, so it is not sent again, and the caller
-/// is told that the outcome is unknown. A summary is asked for again.
+/// Guards against running a booking twice: the connection breaks after a byte was written, so the request may
+/// have run and is retried only if it is repeatable.
 #[rstest]
-#[case(Repeatability::AtMostOnce, Err(NoRetry::MayHaveRun))]
+#[case(Repeatability::AtMostOnce, Err(RetryRefusal::MayHaveRun))]
 #[case(Repeatability::Repeatable, Ok(()))]
-fn what_may_have_run_is_sent_again_only_if_repeatable(
+fn retries_possibly_run_request_only_if_repeatable(
     #[case] repeatability: Repeatability,
-    #[case] expected: Result<(), NoRetry>,
+    #[case] expected: Result<(), RetryRefusal>,
 ) {
     let mut attempts = Attempts::new(repeatability, 3);
     attempts.begin().expect("first");
-    attempts.end(AttemptEnd::MayHaveRun);
+    attempts.end(AttemptOutcome::MayHaveRun);
     assert_eq!(attempts.begin(), expected);
     assert_eq!(attempts.report(), Outcome::Unknown);
 }
 
-/// One attempt was refused, another may have run. "Not run" would be a lie, though the last one did not run.
+/// Guards against a false "not run": the last attempt was not sent, but an earlier one may have run.
 #[test]
-fn one_attempt_that_may_have_run_makes_all_unknown() {
+fn outcome_is_unknown_if_any_attempt_may_have_run() {
     let mut attempts = Attempts::new(Repeatability::Repeatable, 3);
     attempts.begin().expect("first");
-    attempts.end(AttemptEnd::MayHaveRun);
+    attempts.end(AttemptOutcome::MayHaveRun);
     attempts.begin().expect("second");
-    attempts.end(AttemptEnd::NotSent);
+    attempts.end(AttemptOutcome::NotSent);
     assert_eq!(attempts.report(), Outcome::Unknown);
 }
 
-/// The caller is told "unknown" at its deadline, and then the server answers. The late answer goes nowhere and
-/// no further attempt is made.
+/// Guards against two outcomes for one request: the server answers after "unknown" was reported at the
+/// caller's deadline.
 #[test]
-fn late_answer_goes_nowhere() {
+fn discards_answer_after_report() {
     let mut attempts = Attempts::new(Repeatability::Repeatable, 3);
     attempts.begin().expect("first");
     assert_eq!(attempts.report(), Outcome::Unknown);
-    assert!(!attempts.end(AttemptEnd::Answered));
+    assert!(!attempts.end(AttemptOutcome::Answered));
     assert_eq!(attempts.report(), Outcome::Unknown);
-    assert_eq!(attempts.begin(), Err(NoRetry::Reported));
+    assert_eq!(attempts.begin(), Err(RetryRefusal::Reported));
 }
 
-/// Two attempts of a repeatable request are answered. The caller gets one answer.
+/// Guards against two answers to the caller: two attempts of a repeatable request are answered.
 #[test]
-fn only_the_first_answer_counts() {
+fn returns_only_first_answer() {
     let mut attempts = Attempts::new(Repeatability::Repeatable, 3);
     attempts.begin().expect("first");
     attempts.begin().expect("second");
-    assert!(attempts.end(AttemptEnd::Answered));
-    assert!(!attempts.end(AttemptEnd::Answered));
+    assert!(attempts.end(AttemptOutcome::Answered));
+    assert!(!attempts.end(AttemptOutcome::Answered));
 }
 
 #[test]
-fn attempts_run_out() {
+fn refuses_attempts_beyond_limit() {
     let mut attempts = Attempts::new(Repeatability::AtMostOnce, 1);
     attempts.begin().expect("first");
-    attempts.end(AttemptEnd::Declined);
-    assert_eq!(attempts.begin(), Err(NoRetry::Exhausted));
+    attempts.end(AttemptOutcome::Declined);
+    assert_eq!(attempts.begin(), Err(RetryRefusal::Exhausted));
     assert_eq!(attempts.report(), Outcome::NotRun);
 }
 
 #[test]
-fn nothing_sent_did_not_run() {
+fn reports_not_run_if_nothing_was_sent() {
     assert_eq!(Attempts::new(Repeatability::AtMostOnce, 1).report(), Outcome::NotRun);
 }
--- a/crates/core/tests/outcomes/counterexamples.rs
+++ b/crates/core/tests/outcomes/counterexamples.rs
@@ -1,8 +1,9 @@
-//! Counterexamples that the checker found to mutants of `spec/claim.pml`, played on the real state machine.
+//! Replays, against the real state machine, counterexamples that the model checker found for mutants of
+//! `spec/claim.pml`.
 
 use hibiscusvale_core::claim::{
-    AppendEnd, BodyDigest, Claim, ClaimAction, ClaimEntry, ClaimGroup, ClaimKey, ClaimMessage, ClaimPage,
-    ClaimRecord, ClaimSettings, Claims, Decision, FinishedAs, UnixMillis,
+    AppendOutcome, BodyDigest, Claim, ClaimAction, ClaimEntry, ClaimGroup, ClaimKey, ClaimMessage, ClaimPage,
+    ClaimRecord, ClaimSettings, Claims, Decision, RunOutcome, UnixMillis,
 };
 use hibiscusvale_core::ids::{HostId, Incarnation, Offset, RequestId};
 use hibiscusvale_core::units::{Millis, MonoTime};
@@ -12,7 +13,7 @@
 const KEY: ClaimKey = ClaimKey([1; 16]);
 const BODY: BodyDigest = BodyDigest([1; 16]);
 
-/// A daemon that believes itself the owner of every partition.
+/// A daemon that considers itself the owner of every partition.
 struct Daemon {
     claims: Claims,
     incarnation: Incarnation,
@@ -23,13 +24,13 @@
 }
 
 impl Daemon {
-    fn new(name: &str, life: u64) -> Self {
+    fn new(name: &str, incarnation: u64) -> Self {
         let host: HostId = name.parse().expect("name");
-        let mut claims = Claims::new(host.clone(), Incarnation(life.into()), ClaimSettings::default());
+        let mut claims = Claims::new(host.clone(), Incarnation(incarnation.into()), ClaimSettings::default());
         claims.set_members(&[host]);
         Self {
             claims,
-            incarnation: Incarnation(life.into()),
+            incarnation: Incarnation(incarnation.into()),
             partition: KEY.partition(ClaimSettings::default().partitions),
             decisions: Vec::new(),
             append: None,
@@ -43,10 +44,10 @@
 
     fn begin(&mut self, sequence: u64) {
         self.claims.begin(NOW, UNIX, self.request(sequence), KEY, BODY);
-        self.look();
+        self.collect_actions();
     }
 
-    fn look(&mut self) {
+    fn collect_actions(&mut self) {
         for action in self.claims.take_actions() {
             match action {
                 ClaimAction::Append { group, .. } => self.append = Some(group),
@@ -57,33 +58,33 @@
         }
     }
 
-    /// Answers the read that is under way.
+    /// Completes the read in flight.
     fn read(&mut self, log: &[ClaimGroup]) {
         let Some(from) = self.reads.take() else { return };
         let records = (0..).zip(log).skip(usize::try_from(from.0).expect("small"));
         let records =
             records.map(|(offset, group)| ClaimRecord { offset: Offset(offset), group: Some(group.clone()) });
         let page = ClaimPage { start: Offset(0), next: Offset(log.len() as u64), records: records.collect() };
-        self.claims.page(NOW, UNIX, self.partition, Some(page));
-        self.look();
+        self.claims.read_ended(NOW, UNIX, self.partition, Some(page));
+        self.collect_actions();
     }
 
-    /// Takes the append that is under way into the log and answers it.
+    /// Appends the record in flight to the log and completes the append.
     fn append(&mut self, log: &mut Vec<ClaimGroup>) {
-        log.push(self.append.take().expect("an append is under way"));
-        self.end_append(AppendEnd::At(Offset(log.len() as u64 - 1)));
+        log.push(self.append.take().expect("an append is in flight"));
+        self.end_append(AppendOutcome::Appended(Offset(log.len() as u64 - 1)));
     }
 
-    fn end_append(&mut self, end: AppendEnd) {
-        self.claims.appended(NOW, UNIX, self.partition, end);
-        self.look();
+    fn end_append(&mut self, end: AppendOutcome) {
+        self.claims.append_ended(NOW, UNIX, self.partition, end);
+        self.collect_actions();
     }
 
     fn may_run(&self) -> bool {
         self.decisions.iter().any(|decision| matches!(decision, Decision::Run { .. }))
     }
 
-    /// Begins a request and claims for it without a failure.
+    /// Starts a request and claims its key without failures.
     fn claim(&mut self, sequence: u64, log: &mut Vec<ClaimGroup>) {
         self.begin(sequence);
         self.read(log);
@@ -93,10 +94,10 @@
     }
 }
 
-/// Two daemons both believe that they own the key and read an empty log; both append. The second one's record
-/// lands behind the first's, and its caller must not be let run. (`MEMORY_OWNER`, `NO_READ_BACK`)
+/// Two daemons both consider themselves owner of the key, read an empty log and append. The caller whose
+/// record is second must not run. (`MEMORY_OWNER`, `NO_READ_BACK`)
 #[test]
-fn of_two_owners_only_the_first_in_the_log_runs() {
+fn with_two_owners_only_the_first_record_runs() {
     let mut log = Vec::new();
     let (mut a, mut b) = (Daemon::new("a", 1), Daemon::new("b", 2));
     for daemon in [&mut a, &mut b] {
@@ -106,30 +107,30 @@
     a.append(&mut log);
     b.append(&mut log);
     assert!(a.may_run());
-    assert!(!b.may_run(), "not before it has read what stands before its record");
+    assert!(!b.may_run(), "not before it has read the records before its own");
     b.read(&log);
     assert!(!b.may_run());
 }
 
-/// A caller's request arrives and nothing of the log has been heard yet. It does not run. (`RUN_BEFORE_CLAIM`)
+/// A request must not run before its claim is read from the log. (`RUN_BEFORE_CLAIM`)
 #[test]
-fn nothing_runs_before_its_claim_stands() {
+fn nothing_runs_before_its_claim_is_logged() {
     let mut a = Daemon::new("a", 1);
     a.begin(1);
     assert!(!a.may_run());
     a.read(&[]);
-    assert!(!a.may_run(), "the append is only under way");
+    assert!(!a.may_run(), "the append is still in flight");
 }
 
-/// The answer to an append is lost, and the record does not stand, while another daemon's does. The lost answer is
-/// taken neither for a yes nor for a no. (`LOST_REPLY_IS_SUCCESS`)
+/// The reply to an append is lost and its record is not in the log, while another daemon's is. The lost reply
+/// must count neither as success nor as failure. (`LOST_REPLY_IS_SUCCESS`)
 #[test]
-fn a_lost_answer_is_not_taken_for_a_claim() {
+fn lost_append_reply_is_not_a_claim() {
     let mut log = Vec::new();
     let (mut a, mut b) = (Daemon::new("a", 1), Daemon::new("b", 2));
     a.begin(1);
     a.read(&log);
-    a.end_append(AppendEnd::Unknown);
+    a.end_append(AppendOutcome::Unknown);
     assert!(!a.may_run());
     b.claim(1, &mut log);
     assert!(b.may_run());
@@ -137,74 +138,77 @@
     assert!(!a.may_run());
 }
 
-/// A daemon stands still while its append is under way, past the time that its caller waits. The caller is told
-/// "not run", and the claim that turns out to stand runs nothing. (`LATE_VERDICT_COUNTS`)
+/// A daemon is paused with an append in flight until its caller's deadline passes. The caller is told "not
+/// run", so the claim must run nothing although its record turns out to be in the log.
+/// (`LATE_VERDICT_COUNTS`)
 #[test]
-fn a_verdict_after_the_refusal_runs_nothing() {
+fn verdict_after_refusal_runs_nothing() {
     let mut log = Vec::new();
     let mut a = Daemon::new("a", 1);
     a.begin(1);
     a.read(&log);
     let late = NOW + ClaimSettings::default().begin_timeout_ms + Millis(1);
     a.claims.tick(late, UNIX);
-    a.look();
+    a.collect_actions();
     assert!(matches!(a.decisions[..], [Decision::Unavailable { .. }]), "{:?}", a.decisions);
-    log.push(a.append.take().expect("under way"));
-    a.claims.appended(late, UNIX, a.partition, AppendEnd::At(Offset(0)));
-    a.look();
+    log.push(a.append.take().expect("an append is in flight"));
+    a.claims.append_ended(late, UNIX, a.partition, AppendOutcome::Appended(Offset(0)));
+    a.collect_actions();
     assert!(!a.may_run());
 }
 
-/// The same pause, but the verdict is the first thing that the daemon sees when it wakes. (`LATE_VERDICT_COUNTS`)
+/// The same pause, but the verdict is the first event that the daemon processes afterwards.
+/// (`LATE_VERDICT_COUNTS`)
 #[test]
-fn a_verdict_that_is_seen_too_late_runs_nothing() {
+fn verdict_after_deadline_runs_nothing() {
     let mut a = Daemon::new("a", 1);
     a.begin(1);
     a.read(&[]);
     let late = NOW + ClaimSettings::default().begin_timeout_ms;
-    a.claims.appended(late, UNIX, a.partition, AppendEnd::At(Offset(0)));
-    a.look();
+    a.claims.append_ended(late, UNIX, a.partition, AppendOutcome::Appended(Offset(0)));
+    a.collect_actions();
     assert!(!a.may_run());
 }
 
-/// A request ran to an unknown end. Its key is not freed: a retry is told "unknown" and runs nothing.
+/// A request with an unknown outcome must keep its key: a retry is told "unknown" and runs nothing.
 /// (`UNKNOWN_FREES_KEY`)
 #[test]
-fn an_unknown_end_keeps_the_key() {
+fn unknown_outcome_keeps_the_key() {
     let mut log = Vec::new();
     let mut a = Daemon::new("a", 1);
     a.claim(1, &mut log);
-    a.claims.finish(NOW, UNIX, a.request(1), FinishedAs::Unknown);
-    a.look();
+    a.claims.finish(NOW, UNIX, a.request(1), RunOutcome::Unknown);
+    a.collect_actions();
     assert!(a.append.is_none(), "nothing is released");
     a.claim(2, &mut log);
     assert_eq!(a.decisions[1..], [Decision::Unknown]);
 }
 
-/// A request is proven not to have run. Its key is freed, and the retry runs.
+/// The key of a request that is proven not to have run is released, and the retry runs.
 #[test]
-fn a_proven_not_run_frees_the_key() {
+fn proven_not_run_releases_the_key() {
     let mut log = Vec::new();
     let mut a = Daemon::new("a", 1);
     a.claim(1, &mut log);
-    a.claims.finish(NOW, UNIX, a.request(1), FinishedAs::NotRun);
+    a.claims.finish(NOW, UNIX, a.request(1), RunOutcome::NotRun);
     let later = NOW + ClaimSettings::default().append_interval_ms;
     a.claims.tick(later, UNIX);
-    a.look();
+    a.collect_actions();
     a.append(&mut log);
     a.decisions.clear();
     a.claim(2, &mut log);
     let later = later + ClaimSettings::default().append_interval_ms;
     a.claims.tick(later, UNIX);
-    a.look();
+    a.collect_actions();
     a.append(&mut log);
     assert!(a.may_run());
 }
 
-/// A host is replaced after its daemon claimed a key. The new daemon counts its requests from one again; what the
-/// old one claimed is still not its own, because the life is part of the id. (`ID_REUSED`)
+/// A host is replaced after its daemon claimed a key, and the new daemon numbers its requests from 1 again.
+/// It must not take the old claim for its own; the incarnation in the request id distinguishes them.
+/// (`ID_REUSED`)
 #[test]
-fn a_later_life_does_not_take_an_old_claim_for_its_own() {
+fn later_incarnation_does_not_adopt_old_claim() {
     let mut log = Vec::new();
     Daemon::new("a", 1).claim(1, &mut log);
     let mut successor = Daemon::new("a", 2);
@@ -212,10 +216,10 @@
     assert_eq!(successor.decisions, [Decision::Unknown]);
 }
 
-/// A daemon becomes the owner of a partition of which the log keeps days. It does not read days of records before it
-/// answers a caller, and yet it finds the claim of ten minutes ago.
+/// A daemon becomes the owner of a partition whose log keeps days of records. It must find a claim made ten
+/// minutes ago without reading all of them before it answers a caller.
 #[test]
-fn a_new_owner_reads_only_what_still_matters() {
+fn new_owner_reads_only_recent_records() {
     const HOUR_MS: u64 = 3_600_000;
     const MINUTE_MS: u64 = 60_000;
     let group = |minutes_ago: u64, entries| ClaimGroup {
@@ -243,7 +247,7 @@
     let mut asked_holder = false;
     while !asked_holder {
         let mut actions = daemon.claims.take_actions();
-        match actions.pop().expect("something to do") {
+        match actions.pop().expect("an action") {
             ClaimAction::Read { from, limit, .. } => {
                 let records: Vec<ClaimRecord> = (0..)
                     .zip(&log)
@@ -254,7 +258,7 @@
                 reads += 1;
                 records_read += records.len();
                 let page = ClaimPage { start: Offset(0), next: Offset(40_000), records };
-                daemon.claims.page(NOW, now_unix, partition, Some(page));
+                daemon.claims.read_ended(NOW, now_unix, partition, Some(page));
             }
             ClaimAction::Send { message: ClaimMessage::Query { holder, .. }, .. } => {
                 assert_eq!(holder, held.request);
--- a/crates/core/tests/outcomes/main.rs
+++ b/crates/core/tests/outcomes/main.rs
@@ -9,5 +9,5 @@
 mod orphans;
 mod owners;
 mod schedule;
+mod simulation;
 mod tickets;
-mod world;
--- a/crates/core/tests/outcomes/model.rs
+++ b/crates/core/tests/outcomes/model.rs
@@ -1,8 +1,8 @@
-//! Replays the traces of `spec/claim.pml` through the real state machines. `spec/check` makes sure that the
-//! traces are what the model gives.
+//! Replays the traces of `spec/claim.pml` against the real state machines. `spec/check` verifies that the
+//! traces match the model.
 
 use hibiscusvale_core::claim::{
-    AppendEnd, BodyDigest, Claim, ClaimAction, ClaimEntry, ClaimFold, ClaimGroup, ClaimKey, ClaimMessage,
+    AppendOutcome, BodyDigest, Claim, ClaimAction, ClaimEntry, ClaimFold, ClaimGroup, ClaimKey, ClaimMessage,
     ClaimPage, ClaimRecord, ClaimSettings, Claims, UnixMillis, Verdict,
 };
 use hibiscusvale_core::ids::{HostId, Incarnation, Offset, RequestId};
@@ -16,7 +16,7 @@
     name.parse().expect("name")
 }
 
-/// Calls 0 and 2 are taken in by daemon 0, call 1 by daemon 1.
+/// Daemon 0 receives calls 0 and 2, daemon 1 receives call 1.
 fn claim(call: u64) -> Claim {
     let daemon = call % 2;
     Claim {
@@ -42,11 +42,11 @@
     }
 }
 
-/// The verdict of a daemon that knows nothing and is asked to claim for `call`, with a log whose first `prefix`
-/// records are as given. If the last of them is the call's claim, it is the one that this daemon appends.
+/// Verdict of a daemon without prior state that is asked to claim for `call`, with a log whose first `prefix`
+/// records are given. If the last of them is the call's claim, it is the record that this daemon appends.
 fn verdict(log: &[ClaimGroup], prefix: usize, call: u64) -> Verdict {
     let mut daemon = Claims::new(host("owner"), Incarnation(9), ClaimSettings::default());
-    daemon.peer(NOW, UNIX, &host("asker"), ClaimMessage::Ask(claim(call)));
+    daemon.handle_message(NOW, UNIX, &host("asker"), ClaimMessage::Ask(claim(call)));
     let partition = claim(call).key.partition(ClaimSettings::default().partitions);
     let own = log[prefix - 1] == group(ClaimEntry::Claim(claim(call)));
     let known = if own { prefix - 1 } else { prefix };
@@ -54,16 +54,16 @@
     for _ in 0..4 {
         for action in daemon.take_actions() {
             match action {
-                ClaimAction::Read { .. } => daemon.page(NOW, UNIX, partition, Some(page(log, known))),
+                ClaimAction::Read { .. } => daemon.read_ended(NOW, UNIX, partition, Some(page(log, known))),
                 ClaimAction::Append { group: appended, .. } => {
                     assert!(own, "the model decided without an append");
                     assert_eq!(appended, log[prefix - 1]);
-                    daemon.appended(NOW, UNIX, partition, AppendEnd::At(Offset(known as u64)));
+                    daemon.append_ended(NOW, UNIX, partition, AppendOutcome::Appended(Offset(known as u64)));
                 }
-                ClaimAction::Send { message: ClaimMessage::Verdict { verdict: said, .. }, .. } => {
-                    verdict = Some(said);
+                ClaimAction::Send { message: ClaimMessage::Verdict { verdict: reported, .. }, .. } => {
+                    verdict = Some(reported);
                 }
-                ClaimAction::Send { message: ClaimMessage::Taken { .. }, .. } => {}
+                ClaimAction::Send { message: ClaimMessage::Accepted { .. }, .. } => {}
                 other => panic!("unexpected {other:?}"),
             }
         }
@@ -71,8 +71,8 @@
     verdict.expect("a verdict")
 }
 
-/// The model and the code read the same holder out of the same log, and a daemon of the code comes to the model's
-/// verdict by its own reads and appends.
+/// The fold finds the same holder in the same log as the model, and a daemon reaches the model's verdict by
+/// its own reads and appends.
 #[test]
 fn code_and_model_agree_on_verdicts() {
     let mut log = Vec::new();
@@ -100,7 +100,7 @@
                 assert_eq!(verdict(&log, prefix, call), expected, "{line}");
                 verdicts += 1;
             }
-            other => panic!("unknown move {other}"),
+            other => panic!("unknown trace step {other}"),
         }
     }
     assert!(verdicts > 100, "{verdicts} verdicts in the traces");
--- a/crates/core/tests/outcomes/orders.rs
+++ b/crates/core/tests/outcomes/orders.rs
@@ -1,7 +1,7 @@
 use hibiscusvale_core::ids::{FencingNumber, Incarnation, RequestId};
 use hibiscusvale_core::lease::{HeldLease, LeaseSettings};
 use hibiscusvale_core::order::{
-    LoadBudget, ORDER_TRIES, OrderEnd, OrderKind, OrderRefusal, OrderState, PendingOrder,
+    LoadLimit, ORDER_ATTEMPTS, OrderKind, OrderOutcome, OrderRefusal, OrderState, PendingOrder,
 };
 use hibiscusvale_core::units::MonoTime;
 use rstest::rstest;
@@ -17,56 +17,56 @@
     PendingOrder::new(ID, OrderKind::BecomePrefill)
 }
 
-/// The holder decided on an order and was then paused past its lease. It looks at its clock again just before
-/// it sends, and sends nothing: the engine may have a new holder, and may not check fencing numbers.
+/// The holder decides on an order and is then paused past the end of its lease. It must check its clock again
+/// before sending, because the engine may have a new holder and may not check fencing numbers.
 #[test]
-fn a_holder_paused_past_its_lease_sends_nothing() {
+fn holder_paused_past_lease_sends_nothing() {
     let sent = order().send(lease(5).until_us, &LeaseSettings::default(), Some(lease(5)));
     assert_eq!(sent, Err(OrderRefusal::NoLease));
 }
 
-/// The answer to an order is lost. It is asked for again under the same id, which engines carry out once.
+/// The reply to an order is lost. The order is sent again with the same id, which engines execute once.
 #[test]
-fn a_lost_answer_is_asked_for_again_under_the_same_id() {
+fn lost_reply_is_retried_with_same_id() {
     let mut order = order();
-    for _ in 0..ORDER_TRIES {
+    for _ in 0..ORDER_ATTEMPTS {
         let sent = order.send(NOW, &LeaseSettings::default(), Some(lease(5))).expect("held");
         assert_eq!((sent.id, sent.fencing), (ID, FencingNumber(5)));
         assert!(sent.expires_in_ms <= LeaseSettings::default().longest_order_ms);
-        order.end(OrderEnd::Lost);
+        order.end(OrderOutcome::Lost);
     }
-    assert_eq!(order.state(), OrderState::ReadBack);
+    assert_eq!(order.state(), OrderState::NeedsReadBack);
 }
 
 #[rstest]
-#[case(&[OrderEnd::Applied], OrderState::Done)]
-#[case(&[OrderEnd::Fenced], OrderState::Failed)]
-#[case(&[OrderEnd::Expired], OrderState::Failed)]
-#[case(&[OrderEnd::Lost, OrderEnd::Applied], OrderState::Done)]
-#[case(&[OrderEnd::Lost, OrderEnd::Fenced], OrderState::ReadBack)]
-#[case(&[OrderEnd::Lost, OrderEnd::Expired], OrderState::ReadBack)]
-fn an_order_ends_as_its_answers_prove(#[case] ends: &[OrderEnd], #[case] state: OrderState) {
+#[case(&[OrderOutcome::Applied], OrderState::Done)]
+#[case(&[OrderOutcome::Fenced], OrderState::Failed)]
+#[case(&[OrderOutcome::Expired], OrderState::Failed)]
+#[case(&[OrderOutcome::Lost, OrderOutcome::Applied], OrderState::Done)]
+#[case(&[OrderOutcome::Lost, OrderOutcome::Fenced], OrderState::NeedsReadBack)]
+#[case(&[OrderOutcome::Lost, OrderOutcome::Expired], OrderState::NeedsReadBack)]
+fn final_state_follows_from_replies(#[case] outcomes: &[OrderOutcome], #[case] state: OrderState) {
     let mut order = order();
-    for end in ends {
+    for outcome in outcomes {
         order.send(NOW, &LeaseSettings::default(), Some(lease(5))).expect("held");
-        order.end(*end);
+        order.end(*outcome);
     }
     assert_eq!(order.state(), state);
 }
 
-/// The lease was lost and taken again between two tries. Another holder may have ordered in between, so the
-/// engine's state is read back before anything is sent under the new number.
+/// The lease is lost and acquired again between two attempts. Another holder may have sent orders in between,
+/// so the engine's state must be read back before anything is sent with the new fencing number.
 #[test]
-fn an_order_does_not_outlive_its_lease() {
+fn order_does_not_outlive_its_lease() {
     let mut order = order();
     order.send(NOW, &LeaseSettings::default(), Some(lease(5))).expect("held");
-    order.end(OrderEnd::Lost);
+    order.end(OrderOutcome::Lost);
     assert_eq!(order.send(NOW, &LeaseSettings::default(), Some(lease(9))), Err(OrderRefusal::NoLease));
-    assert_eq!(order.state(), OrderState::ReadBack);
+    assert_eq!(order.state(), OrderState::NeedsReadBack);
 }
 
 #[test]
-fn loads_share_the_weight_store_few_at_a_time() {
-    let budget = LoadBudget { limit: 2 };
-    assert_eq!([0, 1, 2].map(|under_way| budget.admit(under_way).is_ok()), [true, true, false]);
+fn limits_concurrent_loads() {
+    let budget = LoadLimit { limit: 2 };
+    assert_eq!([0, 1, 2].map(|in_flight| budget.admit(in_flight).is_ok()), [true, true, false]);
 }
--- a/crates/core/tests/outcomes/owners.rs
+++ b/crates/core/tests/outcomes/owners.rs
@@ -1,4 +1,4 @@
-//! The usual appender of a partition is asked first, unless it has just given no answer.
+//! A partition's owner is asked first, unless it recently did not answer or announced its shutdown.
 
 use hibiscusvale_core::claim::{
     BodyDigest, ClaimAction, ClaimKey, ClaimMessage, ClaimSettings, Claims, UnixMillis,
@@ -12,21 +12,21 @@
     actions.iter().filter(|action| matches!(action, ClaimAction::Send { .. })).count()
 }
 
-/// Begins requests under keys of their own; returns how many of them the other daemon was asked about.
-fn begin(claims: &mut Claims, at: MonoTime, names: std::ops::Range<u64>) -> usize {
-    for name in names {
-        let request = RequestId { incarnation: Incarnation(1), sequence: name };
+/// Starts requests with a key each; returns for how many of them the other daemon was asked.
+fn begin(claims: &mut Claims, at: MonoTime, numbers: std::ops::Range<u64>) -> usize {
+    for number in numbers {
+        let request = RequestId { incarnation: Incarnation(1), sequence: number };
         let partner = "nadifa".parse().expect("partner");
-        let key = ClaimKey::new(&partner, &format!("key-{name}").parse().expect("key"));
+        let key = ClaimKey::new(&partner, &format!("key-{number}").parse().expect("key"));
         claims.begin(at, NOW_UNIX_MS, request, key, BodyDigest::new("POST", "/", b""));
     }
     asks(&claims.take_actions())
 }
 
-/// The host that usually appends for half of the keys dies. Its death is certain only ten seconds later; were each
-/// launch entry until then to wait for its answer first, half of them would miss their target.
+/// The owner of half of the keys dies. Membership declares it dead only ten seconds later; if each launch
+/// entry until then waited for its answer, half of them would miss their target.
 #[test]
-fn an_owner_that_gave_no_answer_is_passed_over_for_a_while() {
+fn unresponsive_owner_is_bypassed_temporarily() {
     let settings = ClaimSettings::default();
     let own: HostId = "entry-a".parse().expect("host");
     let other: HostId = "entry-b".parse().expect("host");
@@ -41,13 +41,13 @@
     claims.take_actions();
 
     assert_eq!(begin(&mut claims, timed_out + Millis(10), 100..164), 0);
-    assert!(begin(&mut claims, timed_out + settings.silent_ms, 200..264) > 0);
+    assert!(begin(&mut claims, timed_out + settings.unresponsive_ms, 200..264) > 0);
 }
 
-/// The log answers each append after a second. The owner has said that it took the claims in, so the other daemons
-/// leave them to it: if all of them appended as well, a slow log would get the more to do.
+/// The log takes a second per append. The owner has accepted the claims, so other daemons must leave them to
+/// it: if all of them appended as well, they would load the slow log further.
 #[test]
-fn a_slow_log_is_not_taken_for_a_silent_owner() {
+fn slow_log_is_not_taken_for_unresponsive_owner() {
     let settings = ClaimSettings::default();
     let (own, other): (HostId, HostId) = ("entry-a".parse().expect("host"), "entry-b".parse().expect("host"));
     let mut asker = Claims::new(own.clone(), Incarnation(1), settings);
@@ -60,35 +60,34 @@
     asker.begin(start, NOW_UNIX_MS, request, ClaimKey([3; 16]), BodyDigest([3; 16]));
     for action in asker.take_actions() {
         let ClaimAction::Send { message, .. } = action else { panic!("unexpected {action:?}") };
-        owner.peer(start, NOW_UNIX_MS, &own, message);
+        owner.handle_message(start, NOW_UNIX_MS, &own, message);
     }
-    let mut taken = 0;
+    let mut accepted = 0;
     for action in owner.take_actions() {
         if let ClaimAction::Send { message, .. } = action {
-            asker.peer(start, NOW_UNIX_MS, &other, message);
-            taken += 1;
+            asker.handle_message(start, NOW_UNIX_MS, &other, message);
+            accepted += 1;
         }
     }
-    assert_eq!(taken, 1);
+    assert_eq!(accepted, 1);
     asker.tick(start + settings.peer_timeout_ms + Millis(1), NOW_UNIX_MS);
-    assert_eq!(asker.take_actions(), [], "it leaves the claim to the owner");
-    asker.tick(start + settings.taken_timeout_ms, NOW_UNIX_MS);
+    assert_eq!(asker.take_actions(), [], "the claim is left to the owner");
+    asker.tick(start + settings.accepted_timeout_ms, NOW_UNIX_MS);
     assert!(
         matches!(asker.take_actions()[..], [ClaimAction::Read { .. }]),
-        "it claims through the log itself"
+        "the daemon claims through the log itself"
     );
 }
 
-/// The host that usually appends for half of the keys is stopped on purpose. It says so, and nobody waits for it after
-/// it has gone.
+/// The owner of half of the keys is stopped and announces it. No claim may wait for it afterwards.
 #[test]
-fn an_owner_that_said_that_it_stops_is_not_waited_for() {
+fn leaving_owner_is_bypassed() {
     let own: HostId = "entry-a".parse().expect("host");
     let other: HostId = "entry-b".parse().expect("host");
     let mut claims = Claims::new(own.clone(), Incarnation(1), ClaimSettings::default());
     claims.set_members(&[own, other.clone()]);
     let start = MonoTime(1_000_000);
-    claims.peer(start, NOW_UNIX_MS, &other, ClaimMessage::Leaving);
+    claims.handle_message(start, NOW_UNIX_MS, &other, ClaimMessage::Leaving);
     assert_eq!(begin(&mut claims, start, 0..64), 0);
     assert!(begin(&mut claims, start + ClaimSettings::default().leaving_ms, 100..164) > 0);
 }
--- a/crates/core/tests/outcomes/schedule.rs
+++ b/crates/core/tests/outcomes/schedule.rs
@@ -1,10 +1,10 @@
-//! Random schedules with fixed seeds. More of them: `HIBISCUSVALE_SCHEDULES=1000 cargo test --release -p
-//! hibiscusvale-core --test outcomes schedule` runs that many for each set of failures instead of 25.
+//! Random schedules with fixed seeds. To run 1,000 schedules instead of 25 for each set of failures:
+//! `HIBISCUSVALE_SCHEDULES=1000 cargo test --release -p hibiscusvale-core --test outcomes schedule`.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-use super::world::{FAULTS, Fault, Step, World};
+use super::simulation::{FAULTS, Fault, Simulation, Step};
 
 const SCHEDULES_PER_SET: u32 = 25;
 const STEPS: usize = 250;
@@ -38,26 +38,26 @@
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let result = runner.run(&steps(faults.to_vec()), |steps| {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for step in steps {
-            world.step(step);
+            simulation.step(step);
         }
-        world.heal_and_settle();
-        world.keys_come_free();
+        simulation.heal_and_settle();
+        simulation.assert_unused_keys_released();
         Ok(())
     });
     assert!(result.is_ok(), "{faults:?}: {}", result.expect_err("checked"));
 }
 
-/// Nothing fails. Callers retry at several hosts at once.
+/// No failures; callers retry at several hosts at once.
 #[test]
 fn no_failure() {
     run(0, &[]);
 }
 
-/// Each failure alone, and each pair of failures, strikes again and again while callers retry at several hosts.
-/// Whatever happens a caller never causes a second run, is never told "not run" of a request that ran, and
-/// never gets the answer to another request.
+/// Each failure alone and each pair of failures occurs repeatedly while callers retry at several hosts. A
+/// caller must never cause a second run, be told "not run" of a request that ran, or get the answer to
+/// another request.
 #[test]
 fn each_failure_alone_and_in_pairs() {
     for (first, fault) in (1..).zip(FAULTS) {
@@ -68,7 +68,7 @@
     }
 }
 
-/// All failures at once.
+/// All failures combined.
 #[test]
 fn all_failures_together() {
     run(255, &FAULTS);
--- a/crates/core/tests/outcomes/world.rs
+++ b/crates/core/tests/outcomes/simulation.rs
@@ -1,11 +1,11 @@
-//! Daemons around a log and a network that misbehave on command. Time and order are the schedule's.
+//! Simulation of daemons with a log and a network that fail on command. The schedule controls time and order.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
 use hibiscusvale_core::claim::{
-    AppendEnd, BodyDigest, ClaimAction, ClaimGroup, ClaimKey, ClaimMessage, ClaimPage, ClaimRecord,
-    ClaimSettings, Claims, Decision, FinishedAs, StoredAnswer, UnixMillis,
+    AppendOutcome, BodyDigest, ClaimAction, ClaimGroup, ClaimKey, ClaimMessage, ClaimPage, ClaimRecord,
+    ClaimSettings, Claims, Decision, RunOutcome, StoredAnswer, UnixMillis,
 };
 use hibiscusvale_core::ids::{HostId, Incarnation, Offset, RequestId};
 use hibiscusvale_core::units::{Micros, Millis, MonoTime};
@@ -21,7 +21,7 @@
         clock_skew_ms: Millis(200),
         begin_timeout_ms: Millis(500),
         start_within_ms: Millis(400),
-        taken_timeout_ms: Millis(200),
+        accepted_timeout_ms: Millis(200),
         peer_timeout_ms: Millis(60),
         append_interval_ms: Millis(10),
         idle_ms: Millis(1_500),
@@ -30,7 +30,7 @@
     }
 }
 
-/// One move of the schedule. Numbers pick among what there is.
+/// One step of the schedule. Numbers select among the available items, modulo their count.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
     Begin { host: u8, key: u8, body: u8 },
@@ -42,26 +42,26 @@
     Fault(Fault, u8),
 }
 
-/// One failure of the environment.
+/// A failure of the environment.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Fault {
     /// A daemon dies and is replaced.
     Crash,
-    /// A daemon stands still, then goes on.
+    /// A daemon is paused, or resumes.
     Pause,
     /// A message between daemons is lost.
     Loss,
-    /// A message is doubled.
+    /// A message is duplicated.
     Duplicate,
-    /// A message overtakes others.
+    /// A message is reordered.
     Reorder,
-    /// Two daemons are cut off from each other, or joined again.
-    Cut,
-    /// The log goes down, or comes back.
+    /// Two daemons are disconnected from each other, or connected again.
+    NetworkCut,
+    /// The log goes down, or recovers.
     Outage,
-    /// The log takes an append and its answer is lost.
+    /// The log executes an append and its reply is lost.
     LostReply,
-    /// An append seems lost and lands later.
+    /// The reply to an append is lost and the record arrives in the log later.
     LateAppend,
 }
 
@@ -71,7 +71,7 @@
     Fault::Loss,
     Fault::Duplicate,
     Fault::Reorder,
-    Fault::Cut,
+    Fault::NetworkCut,
     Fault::Outage,
     Fault::LostReply,
     Fault::LateAppend,
@@ -81,7 +81,7 @@
 struct Message {
     from: usize,
     to: usize,
-    says: ClaimMessage,
+    content: ClaimMessage,
 }
 
 #[derive(Debug)]
@@ -123,19 +123,19 @@
 }
 
 #[derive(Debug)]
-pub struct World {
+pub struct Simulation {
     now_us: MonoTime,
     daemons: Vec<Daemon>,
-    lives: u64,
+    incarnations: u64,
     streams: HashMap<u16, Vec<ClaimGroup>>,
     late: Vec<(u16, ClaimGroup)>,
     log_down: bool,
     messages: Vec<Message>,
     log_calls: Vec<LogCall>,
-    cuts: HashSet<(usize, usize)>,
+    network_cuts: HashSet<(usize, usize)>,
     jobs: Vec<Job>,
     calls: BTreeMap<RequestId, Call>,
-    ledger: HashMap<u8, Vec<Run>>,
+    runs: HashMap<u8, Vec<Run>>,
 }
 
 fn host(index: usize) -> HostId {
@@ -154,32 +154,32 @@
     BodyDigest([number; 16])
 }
 
-impl World {
+impl Simulation {
     pub fn new() -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             now_us: MonoTime(1_000_000),
             daemons: Vec::new(),
-            lives: 0,
+            incarnations: 0,
             streams: HashMap::new(),
             late: Vec::new(),
             log_down: false,
             messages: Vec::new(),
             log_calls: Vec::new(),
-            cuts: HashSet::new(),
+            network_cuts: HashSet::new(),
             jobs: Vec::new(),
             calls: BTreeMap::new(),
-            ledger: HashMap::new(),
+            runs: HashMap::new(),
         };
         for index in 0..HOSTS {
-            let daemon = world.new_life(index);
-            world.daemons.push(daemon);
+            let daemon = simulation.new_incarnation(index);
+            simulation.daemons.push(daemon);
         }
-        world
+        simulation
     }
 
-    fn new_life(&mut self, index: usize) -> Daemon {
-        self.lives += 1;
-        let incarnation = Incarnation(self.lives.into());
+    fn new_incarnation(&mut self, index: usize) -> Daemon {
+        self.incarnations += 1;
+        let incarnation = Incarnation(self.incarnations.into());
         let mut claims = Claims::new(host(index), incarnation, settings());
         let everyone: Vec<HostId> = (0..HOSTS).map(host).collect();
         claims.set_members(&everyone);
@@ -197,7 +197,7 @@
             Step::Log { pick } => self.log(pick as usize, None),
             Step::Run { pick, how } => self.run(pick as usize, how),
             Step::Tick { host, millis } => {
-                // Now and then enough time passes for keys to expire.
+                // Occasionally enough time passes for keys to expire.
                 let millis = if millis == u8::MAX { 9_000 } else { u64::from(millis) };
                 self.now_us = self.now_us + Micros(millis * 1_000);
                 self.tick(host as usize % HOSTS);
@@ -220,18 +220,18 @@
                 self.messages.remove(pick % self.messages.len());
             }
             Fault::Duplicate if !self.messages.is_empty() => {
-                let Message { from, to, ref says } = self.messages[pick % self.messages.len()];
-                let says = says.clone();
-                self.messages.push(Message { from, to, says });
+                let Message { from, to, ref content } = self.messages[pick % self.messages.len()];
+                let content = content.clone();
+                self.messages.push(Message { from, to, content });
             }
             Fault::Reorder if !self.messages.is_empty() => {
                 let overtaken = self.messages.remove(pick % self.messages.len());
                 self.messages.push(overtaken);
             }
-            Fault::Cut => {
+            Fault::NetworkCut => {
                 let pair = (index, (index + 1) % HOSTS);
-                if !self.cuts.remove(&pair) {
-                    self.cuts.insert(pair);
+                if !self.network_cuts.remove(&pair) {
+                    self.network_cuts.insert(pair);
                 }
             }
             Fault::Outage => self.log_down ^= true,
@@ -241,7 +241,7 @@
     }
 
     fn crash(&mut self, index: usize) {
-        self.daemons[index] = self.new_life(index);
+        self.daemons[index] = self.new_incarnation(index);
         self.jobs.retain(|job| job.host != index);
         self.log_calls.retain(|call| call.host != index);
     }
@@ -273,16 +273,16 @@
         if self.messages.is_empty() {
             return;
         }
-        let Message { from, to, says } = self.messages.remove(pick % self.messages.len().min(3));
+        let Message { from, to, content } = self.messages.remove(pick % self.messages.len().min(3));
         if self.daemons[to].paused {
-            self.messages.push(Message { from, to, says });
+            self.messages.push(Message { from, to, content });
             return;
         }
-        if self.cuts.contains(&(from, to)) || self.cuts.contains(&(to, from)) {
+        if self.network_cuts.contains(&(from, to)) || self.network_cuts.contains(&(to, from)) {
             return;
         }
         let (now_us, unix_ms) = (self.now_us, self.unix(to));
-        self.daemons[to].claims.peer(now_us, unix_ms, &host(from), says);
+        self.daemons[to].claims.handle_message(now_us, unix_ms, &host(from), content);
         self.carry_out(to);
     }
 
@@ -298,36 +298,36 @@
         let call = self.log_calls.remove(pick % self.log_calls.len());
         match call.action {
             ClaimAction::Append { partition, group } => {
-                let end = self.append(partition, group, fault);
-                self.answer(call.host, call.incarnation, |claims, now_us, unix_ms| {
-                    claims.appended(now_us, unix_ms, partition, end);
+                let outcome = self.append(partition, group, fault);
+                self.complete_log_call(call.host, call.incarnation, |claims, now_us, unix_ms| {
+                    claims.append_ended(now_us, unix_ms, partition, outcome);
                 });
             }
             ClaimAction::Read { partition, from, limit } => {
                 let page = self.page(partition, from, limit);
-                self.answer(call.host, call.incarnation, |claims, now_us, unix_ms| {
-                    claims.page(now_us, unix_ms, partition, page);
+                self.complete_log_call(call.host, call.incarnation, |claims, now_us, unix_ms| {
+                    claims.read_ended(now_us, unix_ms, partition, page);
                 });
             }
             ClaimAction::Send { .. } | ClaimAction::Decide { .. } => unreachable!("not a call to the log"),
         }
     }
 
-    fn append(&mut self, partition: u16, group: ClaimGroup, fault: Option<Fault>) -> AppendEnd {
+    fn append(&mut self, partition: u16, group: ClaimGroup, fault: Option<Fault>) -> AppendOutcome {
         match fault {
             Some(Fault::LateAppend) => {
                 self.late.push((partition, group));
-                return AppendEnd::Unknown;
+                return AppendOutcome::Unknown;
             }
-            _ if self.log_down => return AppendEnd::Down,
+            _ if self.log_down => return AppendOutcome::Unavailable,
             _ => {}
         }
         let stream = self.streams.entry(partition).or_default();
         stream.push(group);
         if fault == Some(Fault::LostReply) {
-            return AppendEnd::Unknown;
+            return AppendOutcome::Unknown;
         }
-        AppendEnd::At(Offset(stream.len() as u64 - 1))
+        AppendOutcome::Appended(Offset(stream.len() as u64 - 1))
     }
 
     fn page(&self, partition: u16, from: Offset, limit: u32) -> Option<ClaimPage> {
@@ -342,8 +342,9 @@
         Some(ClaimPage { start: Offset(0), next, records: records.collect() })
     }
 
-    /// Hands a log answer to its daemon; one that is paused gets it late, one that died never.
-    fn answer<Act>(&mut self, index: usize, incarnation: Incarnation, act: Act)
+    /// Completes a log call of a daemon. A paused daemon still gets the result; an earlier incarnation never
+    /// does.
+    fn complete_log_call<Act>(&mut self, index: usize, incarnation: Incarnation, act: Act)
     where
         Act: FnOnce(&mut Claims, MonoTime, UnixMillis),
     {
@@ -360,7 +361,7 @@
         for action in self.daemons[index].claims.take_actions() {
             match action {
                 ClaimAction::Send { to, message } => {
-                    self.messages.push(Message { from: index, to: host_index(&to), says: message });
+                    self.messages.push(Message { from: index, to: host_index(&to), content: message });
                 }
                 ClaimAction::Decide { request, decision } => self.decide(index, request, decision),
                 action => self.log_calls.push(LogCall { host: index, incarnation, action }),
@@ -372,12 +373,12 @@
         if let Decision::Run { start_by_us } = decision {
             self.jobs.push(Job { host: index, request, start_by_us, started: false });
         }
-        let call = self.calls.get_mut(&request).expect("a call that began");
+        let call = self.calls.get_mut(&request).expect("a call that was started");
         assert_eq!(call.decision, None, "{request} was decided twice");
         call.decision = Some(decision);
     }
 
-    /// The dispatcher's part: starts a request that was allowed, later reports how it ended.
+    /// Acts as the dispatcher: starts a request that may run, later reports its outcome.
     fn run(&mut self, pick: usize, how: u8) {
         if self.jobs.is_empty() {
             return;
@@ -390,33 +391,33 @@
         if !started && self.now_us < start_by_us && !how.is_multiple_of(8) {
             self.jobs[at].started = true;
             let Call { key, body, .. } = self.calls[&request];
-            self.ledger.entry(key).or_default().push(Run { request, body, at_us: self.now_us });
+            self.runs.entry(key).or_default().push(Run { request, body, at_us: self.now_us });
             return;
         }
         self.jobs.remove(at);
         let finished = match (started, how % 4) {
-            (false, _) => FinishedAs::NotRun,
-            (true, 0) => FinishedAs::Unknown,
-            (true, 1) => FinishedAs::Answered(None),
-            (true, _) => FinishedAs::Answered(Some(Arc::new(answer_of(request)))),
+            (false, _) => RunOutcome::NotRun,
+            (true, 0) => RunOutcome::Unknown,
+            (true, 1) => RunOutcome::Answered(None),
+            (true, _) => RunOutcome::Answered(Some(Arc::new(answer_of(request)))),
         };
         let (now_us, unix_ms) = (self.now_us, self.unix(index));
         self.daemons[index].claims.finish(now_us, unix_ms, request, finished);
         self.carry_out(index);
     }
 
-    /// The invariants that hold at every moment.
+    /// Checks the invariants that hold after every step.
     fn check(&self) {
         let started_late = settings().begin_timeout_ms + settings().start_within_ms;
         let apart = Micros::from(settings().retention_ms) - Micros::from(started_late);
-        for runs in self.ledger.values() {
+        for runs in self.runs.values() {
             for pair in runs.windows(2) {
                 assert!(pair[1].at_us.since(pair[0].at_us) >= apart, "a key ran twice: {pair:?}");
             }
         }
         for (request, call) in &self.calls {
             let Some(decision) = &call.decision else { continue };
-            let runs = self.ledger.get(&call.key).map_or(&[][..], Vec::as_slice);
+            let runs = self.runs.get(&call.key).map_or(&[][..], Vec::as_slice);
             if !matches!(decision, Decision::Run { .. }) {
                 assert!(runs.iter().all(|run| run.request != *request), "{request} ran after {decision:?}");
             }
@@ -428,11 +429,10 @@
         }
     }
 
-    /// Ends all faults and lets everything come to rest: every caller whose daemon lives gets a decision, and
-    /// keys that nothing ran under can be used again.
+    /// Ends all faults and runs until idle: every caller whose daemon is alive gets a decision.
     pub fn heal_and_settle(&mut self) {
         self.log_down = false;
-        self.cuts.clear();
+        self.network_cuts.clear();
         let everyone: Vec<HostId> = (0..HOSTS).map(host).collect();
         for daemon in &mut self.daemons {
             daemon.paused = false;
@@ -459,14 +459,14 @@
         }
     }
 
-    /// Keys of requests that did not run, of daemons that live, are free again.
-    pub fn keys_come_free(&mut self) {
+    /// Checks that keys under which nothing ran, of daemons that are alive, can be used again.
+    pub fn assert_unused_keys_released(&mut self) {
         while !self.jobs.is_empty() {
             self.run(0, 2);
         }
         self.settle(2_000);
         for key_number in 0..KEYS {
-            let ran = self.ledger.contains_key(&key_number);
+            let ran = self.runs.contains_key(&key_number);
             let orphaned = self.calls.iter().any(|(request, call)| {
                 call.key == key_number && self.daemons[call.host].incarnation != request.incarnation
             });
@@ -488,7 +488,7 @@
                 return;
             }
         }
-        panic!("key {key_number} ran nowhere and is still not free: {last:?}");
+        panic!("key {key_number} ran nowhere and was not released: {last:?}");
     }
 }
 
--- a/crates/core/tests/sched/ledger.rs
+++ b/crates/core/tests/sched/ledger.rs
@@ -45,7 +45,7 @@
         request_id,
         ask: AskId(request_id.sequence),
         partner: "a".parse().unwrap(),
-        phase: GrantPhase::Moved,
+        phase: GrantPhase::Transferred,
         rate_bytes_per_s: LINK,
         work_tokens: Tokens(10),
         token_us: Micros(0),
@@ -169,9 +169,9 @@
     assert_eq!(denied(&fixture.send(1, ask(id(1, 9)))), [DenyReason::Unhealthy]);
     fixture.send(1, renew(vec![held(id(1, 1))]));
     fixture.send(2, renew(vec![held(id(2, 2))]));
-    assert!(fixture.ledger.is_quiet(MonoTime(0)));
+    assert!(fixture.ledger.is_taking_over(MonoTime(0)));
     fixture.report(&[id(1, 1), id(2, 2)]);
-    assert!(!fixture.ledger.is_quiet(MonoTime(0)));
+    assert!(!fixture.ledger.is_taking_over(MonoTime(0)));
     assert_eq!(granted(&fixture.send(1, ask(id(1, 9)))), [] as [u64; 0]);
     assert_eq!(fixture.ledger.counters().over_committed, 0);
 }
--- a/crates/core/tests/sched/queue.rs
+++ b/crates/core/tests/sched/queue.rs
@@ -96,7 +96,7 @@
 fn forecast_reports_harm_to_an_accepted_request() {
     let queue = filled(&[(1, "a", Some(50))]);
     let forecast = queue.forecast(MonoTime(0), &entry(2, "a", Some(10)), 1.0);
-    assert!(forecast.harms_earlier);
+    assert!(forecast.delays_earlier);
     let forecast = queue.forecast(MonoTime(0), &entry(2, "a", Some(60)), 1.0);
-    assert!(!forecast.harms_earlier);
+    assert!(!forecast.delays_earlier);
 }
--- a/crates/core/tests/sched/simulation.rs
+++ b/crates/core/tests/sched/simulation.rs
@@ -218,12 +218,12 @@
             }
             let mut actions = Vec::new();
             if let Some(before) = before.filter(|&before| before != owner) {
-                self.daemons[before].watcher.disown(now_us, &name, &mut actions);
+                self.daemons[before].watcher.unwatch(now_us, &name, &mut actions);
                 self.ledger_actions(before, actions);
             }
             let others = if first { Vec::new() } else { others.clone() };
             let (role, link) = (self.role(server), BytesPerSecond(LINK_BYTES_PER_S));
-            self.daemons[owner].watcher.own(now_us, &name, role, 20, link, &others);
+            self.daemons[owner].watcher.watch(now_us, &name, role, 20, link, &others);
             if first {
                 self.watchers.push(owner);
                 continue;
@@ -380,7 +380,7 @@
                 self.daemons[index].listed = false;
                 let failed = self.daemons[index].incarnation;
                 for daemon in &mut self.daemons {
-                    daemon.watcher.forget_home(MonoTime(self.now_us), failed);
+                    daemon.watcher.forget_daemon(MonoTime(self.now_us), failed);
                 }
                 self.assign_watchers(false);
                 self.prefill.iter_mut().for_each(|engine| engine.cancel_owner(failed));
--- a/crates/router/src/backend/engine.rs
+++ b/crates/router/src/backend/engine.rs
@@ -9,7 +9,7 @@
 use futures_util::future::BoxFuture;
 use futures_util::stream::{BoxStream, Stream, StreamExt};
 use hibiscusvale_core::ids::{AttemptId, HostId, Incarnation, ModelId};
-use hibiscusvale_core::order::{Order, OrderEnd};
+use hibiscusvale_core::order::{Order, OrderOutcome};
 use hibiscusvale_core::units::{Bytes as ByteCount, BytesPerSecond, Millis, Tokens};
 use serde::{Deserialize, Serialize};
 
@@ -303,7 +303,7 @@
     fn cache_events(&self, to: SocketAddr, after: u64) -> BoxFuture<'_, Result<CachePage, EngineFailure>>;
 
     /// Orders an engine to load a model or to change role; carried out once under the order's id.
-    fn order(&self, to: SocketAddr, order: Order) -> BoxFuture<'_, Result<OrderEnd, EngineFailure>>;
+    fn order(&self, to: SocketAddr, order: Order) -> BoxFuture<'_, Result<OrderOutcome, EngineFailure>>;
 }
 
 /// Tokens as the engine sends them. Dropping it ends the call; reading slowly slows the engine down.
--- a/crates/router/src/backend/engine_http.rs
+++ b/crates/router/src/backend/engine_http.rs
@@ -7,7 +7,7 @@
 use futures_util::future::BoxFuture;
 use futures_util::stream::{self, Stream};
 use hibiscusvale_core::ids::ModelId;
-use hibiscusvale_core::order::{Order, OrderEnd, OrderKind};
+use hibiscusvale_core::order::{Order, OrderKind, OrderOutcome};
 use hibiscusvale_core::units::{BytesPerSecond, Millis, Tokens};
 use http::{Method, Request, StatusCode, header};
 use http_body_util::{BodyExt, Full};
@@ -264,7 +264,7 @@
         Box::pin(self.read(to, format!("/engine/cache_events?after={after}")))
     }
 
-    fn order(&self, to: SocketAddr, order: Order) -> BoxFuture<'_, Result<OrderEnd, EngineFailure>> {
+    fn order(&self, to: SocketAddr, order: Order) -> BoxFuture<'_, Result<OrderOutcome, EngineFailure>> {
         Box::pin(async move {
             let body = OrderBody {
                 order_id: order.id.to_string(),
@@ -278,9 +278,9 @@
                 },
             };
             match self.post(to, "/engine/order", &body, Trust::Fresh, SHORT_CALL).await {
-                Ok(_) => Ok(OrderEnd::Applied),
-                Err(EngineFailure::Refused(CONFLICT)) => Ok(OrderEnd::Fenced),
-                Err(EngineFailure::Gone) => Ok(OrderEnd::Expired),
+                Ok(_) => Ok(OrderOutcome::Applied),
+                Err(EngineFailure::Refused(CONFLICT)) => Ok(OrderOutcome::Fenced),
+                Err(EngineFailure::Gone) => Ok(OrderOutcome::Expired),
                 Err(failure) => Err(failure),
             }
         })
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -9,8 +9,8 @@
 
 use bytes::Bytes;
 use hibiscusvale_core::claim::{
-    AppendEnd, BodyDigest, ClaimAction, ClaimGroup, ClaimKey, ClaimMessage, ClaimPage, ClaimRecord,
-    ClaimSettings, Claims, Decision, FinishedAs, StoredAnswer, UnixMillis,
+    AppendOutcome, BodyDigest, ClaimAction, ClaimGroup, ClaimKey, ClaimMessage, ClaimPage, ClaimRecord,
+    ClaimSettings, Claims, Decision, RunOutcome, StoredAnswer, UnixMillis,
 };
 use hibiscusvale_core::ids::{HostId, IdempotencyKey, Incarnation, Offset, PartnerId, RequestId};
 use hibiscusvale_core::units::{Millis, MonoTime};
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 struct Finished {
     request: RequestId,
-    finished: FinishedAs,
+    finished: RunOutcome,
 }
 
 /// What a caller's task is to do.
@@ -107,24 +107,24 @@
 
     /// The server answered; `None` when the answer is not to be kept.
     pub fn answered(self, answer: Option<StoredAnswer>) {
-        self.finish(FinishedAs::Answered(answer.map(Arc::new)));
+        self.finish(RunOutcome::Answered(answer.map(Arc::new)));
     }
 
     /// It is proven that the request did not run, and it will not be tried again. Its key becomes free.
     pub fn not_run(self) {
-        self.finish(FinishedAs::NotRun);
+        self.finish(RunOutcome::NotRun);
     }
 
     /// The request may have run.
     pub fn unknown(self) {
-        self.finish(FinishedAs::Unknown);
+        self.finish(RunOutcome::Unknown);
     }
 
-    fn finish(mut self, finished: FinishedAs) {
+    fn finish(mut self, finished: RunOutcome) {
         self.report(finished);
     }
 
-    fn report(&mut self, finished: FinishedAs) {
+    fn report(&mut self, finished: RunOutcome) {
         if let Some(sender) = self.finished.take() {
             // The service ends with its daemon; then nobody asks any more.
             let _ = sender.send(Finished { request: self.request, finished });
@@ -134,7 +134,7 @@
 
 impl Drop for ClaimGuard {
     fn drop(&mut self) {
-        self.report(FinishedAs::Unknown);
+        self.report(RunOutcome::Unknown);
     }
 }
 
@@ -182,9 +182,9 @@
             }
             Decision::Answered(answer) => ClaimDecision::Answered(answer),
             Decision::InProgress => ClaimDecision::InProgress,
-            Decision::AnswerGone => ClaimDecision::AnswerGone,
+            Decision::AnswerEvicted => ClaimDecision::AnswerGone,
             Decision::Unknown => ClaimDecision::Unknown,
-            Decision::OtherBody => ClaimDecision::OtherBody,
+            Decision::BodyMismatch => ClaimDecision::OtherBody,
             Decision::Unavailable { retry_after_ms } => ClaimDecision::Unavailable { retry_after_ms },
         }
     }
@@ -192,7 +192,7 @@
 
 #[derive(Debug)]
 enum LogEnd {
-    Append { partition: u16, end: AppendEnd },
+    Append { partition: u16, end: AppendOutcome },
     Read { partition: u16, page: Option<ClaimPage> },
 }
 
@@ -281,7 +281,7 @@
                 self.machine.begin(clock::now(), unix_now(), request, key, digest);
             }
             ClaimsCommand::Peer { from, message } => {
-                self.machine.peer(clock::now(), unix_now(), &from, message);
+                self.machine.handle_message(clock::now(), unix_now(), &from, message);
             }
             ClaimsCommand::Members(members) => {
                 self.machine.set_members(&members);
@@ -299,10 +299,10 @@
     fn log_end(&mut self, end: LogEnd) {
         match end {
             LogEnd::Append { partition, end } => {
-                self.machine.appended(clock::now(), unix_now(), partition, end);
+                self.machine.append_ended(clock::now(), unix_now(), partition, end);
             }
             LogEnd::Read { partition, page } => {
-                self.machine.page(clock::now(), unix_now(), partition, page);
+                self.machine.read_ended(clock::now(), unix_now(), partition, page);
             }
         }
     }
@@ -327,14 +327,14 @@
         };
         if matches!(undelivered, Decision::Run { .. }) {
             // The caller left before the decision, so the request never runs and its key is freed.
-            self.machine.finish(clock::now(), unix_now(), request, FinishedAs::NotRun);
+            self.machine.finish(clock::now(), unix_now(), request, RunOutcome::NotRun);
         }
     }
 
     fn append(&self, partition: u16, group: &ClaimGroup) {
         let Ok(record) = postcard::to_stdvec(group) else {
             // Encoding to memory cannot fail for these types; were it to, nothing was sent.
-            let _ = self.log_ends.send(LogEnd::Append { partition, end: AppendEnd::Down });
+            let _ = self.log_ends.send(LogEnd::Append { partition, end: AppendOutcome::Unavailable });
             return;
         };
         let log = Arc::clone(&self.log);
@@ -343,7 +343,7 @@
             let append = log.append(Stream::Claims(partition), vec![Bytes::from(record)]);
             let end = time::timeout(LOG_TIMEOUT, append)
                 .await
-                .map_or(AppendEnd::Unknown, |result| append_end(&result));
+                .map_or(AppendOutcome::Unknown, |result| append_end(&result));
             let _ = ends.send(LogEnd::Append { partition, end });
         });
     }
@@ -367,14 +367,14 @@
     UnixMillis(clock::unix_ms())
 }
 
-fn append_end(result: &Result<Offset, AppendError>) -> AppendEnd {
+fn append_end(result: &Result<Offset, AppendError>) -> AppendOutcome {
     match result {
-        Ok(offset) => AppendEnd::At(*offset),
+        Ok(offset) => AppendOutcome::Appended(*offset),
         Err(AppendError::NotAppended { cause: LogFailure::OverRate, retry_after_ms }) => {
-            AppendEnd::OverRate(retry_after_ms.unwrap_or(OVER_RATE_MS))
+            AppendOutcome::RateLimited(retry_after_ms.unwrap_or(OVER_RATE_MS))
         }
-        Err(AppendError::NotAppended { .. }) => AppendEnd::Down,
-        Err(AppendError::Unknown { .. }) => AppendEnd::Unknown,
+        Err(AppendError::NotAppended { .. }) => AppendOutcome::Unavailable,
+        Err(AppendError::Unknown { .. }) => AppendOutcome::Unknown,
     }
 }
 
--- a/crates/router/src/dispatch/once.rs
+++ b/crates/router/src/dispatch/once.rs
@@ -155,16 +155,16 @@
         match decision {
             TicketDecision::Answered(answer) => Ok(Gate::Answered(answer)),
             TicketDecision::InProgress => Err(in_progress()),
-            TicketDecision::AnswerGone => Err(answer_gone()),
-            TicketDecision::OtherBody => Err(Refusal::not_run(RefusalReason::DifferentBody)),
-            TicketDecision::Expired | TicketDecision::NotGiven => {
+            TicketDecision::AnswerEvicted => Err(answer_gone()),
+            TicketDecision::BodyMismatch => Err(Refusal::not_run(RefusalReason::DifferentBody)),
+            TicketDecision::Expired | TicketDecision::NotIssued => {
                 Err(Refusal::not_run(RefusalReason::TicketVoid))
             }
             // The daemon that knows is gone or was not reached, and it may have run the request.
             TicketDecision::Run
             | TicketDecision::Unknown
-            | TicketDecision::Elsewhere
-            | TicketDecision::HolderGone => Err(Refusal::unknown(RefusalReason::TicketVoid)),
+            | TicketDecision::OtherHost
+            | TicketDecision::IssuerReplaced => Err(Refusal::unknown(RefusalReason::TicketVoid)),
         }
     }
 }
--- a/crates/router/src/dispatch/release.rs
+++ b/crates/router/src/dispatch/release.rs
@@ -48,7 +48,7 @@
 
     /// Releases what any daemon's try holds at `server`.
     pub fn release_held(self: &Arc<Self>, server: &BackendServerId, held: Held) {
-        self.pending.lock().want(clock::now(), server, held);
+        self.pending.lock().request(clock::now(), server, held);
         self.send_due();
     }
 
@@ -69,7 +69,7 @@
         }
         for DueRelease { server, item } in due {
             let Some(address) = self.directory.address_of(&server) else {
-                self.pending.lock().server_gone(&server);
+                self.pending.lock().remove_server(&server);
                 continue;
             };
             let releases = Arc::clone(self);
--- a/crates/router/src/leases.rs
+++ b/crates/router/src/leases.rs
@@ -143,12 +143,12 @@
         if self.read_log().await.is_err() {
             return;
         }
-        let Some(record) = self.lease.want(clock::now(), &self.fold) else {
+        let Some(record) = self.lease.next_record(clock::now(), &self.fold) else {
             return;
         };
         match self.append(&record).await {
-            Ok(_) | Err(AppendError::Unknown { .. }) => self.lease.maybe_appended(),
-            Err(AppendError::NotAppended { .. }) => self.lease.not_appended(clock::now()),
+            Ok(_) | Err(AppendError::Unknown { .. }) => self.lease.append_unconfirmed(),
+            Err(AppendError::NotAppended { .. }) => self.lease.append_failed(clock::now()),
         }
         if self.read_log().await.is_ok() {
             self.lease.read_back(clock::now(), &self.fold);
@@ -161,7 +161,7 @@
 
     async fn give_up(&mut self) {
         self.draining.clear();
-        if let Some(record) = self.lease.give_up(clock::now(), &self.fold) {
+        if let Some(record) = self.lease.release(clock::now(), &self.fold) {
             // Should it be lost, the successor waits the lease out.
             let _ = self.append(&record).await;
         }
--- a/crates/router/src/leases/orders.rs
+++ b/crates/router/src/leases/orders.rs
@@ -4,7 +4,7 @@
 
 use hibiscusvale_core::ids::{BackendServerId, Incarnation, ModelId, RequestId};
 use hibiscusvale_core::lease::{Lease, LeaseSettings};
-use hibiscusvale_core::order::{OrderEnd, OrderKind, OrderState, PendingOrder};
+use hibiscusvale_core::order::{OrderKind, OrderOutcome, OrderState, PendingOrder};
 use hibiscusvale_core::slots::Role;
 
 use crate::backend::EngineEdge;
@@ -67,7 +67,7 @@
     ) -> Vec<BackendServerId> {
         for Addressed { server, order } in &mut self.pending {
             let Some(address) = listing.servers.get(server).map(|server| server.address) else {
-                order.end(OrderEnd::Lost);
+                order.end(OrderOutcome::Lost);
                 continue;
             };
             let now_us = clock::now();
@@ -75,7 +75,7 @@
             let Ok(sent) = order.send(now_us, settings, lease.held(now_us)) else {
                 continue;
             };
-            let end = edge.order(address, sent).await.unwrap_or(OrderEnd::Lost);
+            let end = edge.order(address, sent).await.unwrap_or(OrderOutcome::Lost);
             order.end(end);
         }
         let (ended, left): (Vec<_>, Vec<_>) =
@@ -89,7 +89,7 @@
 
 fn is_ended(order: &PendingOrder) -> bool {
     match order.state() {
-        OrderState::Done | OrderState::Failed | OrderState::ReadBack => true,
-        OrderState::Send | OrderState::UnderWay => false,
+        OrderState::Done | OrderState::Failed | OrderState::NeedsReadBack => true,
+        OrderState::Send | OrderState::InFlight => false,
     }
 }
--- a/crates/router/src/relay/orders.rs
+++ b/crates/router/src/relay/orders.rs
@@ -120,10 +120,10 @@
         if waits {
             return None;
         }
-        let record = self.lease.want(clock::now(), &self.fold)?;
+        let record = self.lease.next_record(clock::now(), &self.fold)?;
         match self.append(&record).await {
-            Ok(()) | Err(AppendError::Unknown { .. }) => self.lease.maybe_appended(),
-            Err(AppendError::NotAppended { .. }) => self.lease.not_appended(clock::now()),
+            Ok(()) | Err(AppendError::Unknown { .. }) => self.lease.append_unconfirmed(),
+            Err(AppendError::NotAppended { .. }) => self.lease.append_failed(clock::now()),
         }
         if self.read_log().await.is_ok() {
             self.lease.read_back(clock::now(), &self.fold);
@@ -202,7 +202,7 @@
         let status = answer.map(|(status, _)| status);
         state.log.ordered(&shift.server, role_label(shift.role), order.fencing, &describe(status));
         match status {
-            Ok(StatusCode::PRECONDITION_FAILED) => self.lease = self.lease.fresh(),
+            Ok(StatusCode::PRECONDITION_FAILED) => self.lease = self.lease.without_lease(),
             // A conflict means that the engine is executing something else; a failed call, that it may be.
             Ok(StatusCode::ACCEPTED | StatusCode::OK | StatusCode::CONFLICT) | Err(_) => {
                 state.engine_hub.shifted(service, shift);
--- a/crates/router/src/tickets.rs
+++ b/crates/router/src/tickets.rs
@@ -2,9 +2,9 @@
 
 use std::sync::Arc;
 
-use hibiscusvale_core::claim::{BodyDigest, FinishedAs, StoredAnswer};
+use hibiscusvale_core::claim::{BodyDigest, RunOutcome, StoredAnswer};
 use hibiscusvale_core::ids::{HostId, Incarnation, PartnerId};
-use hibiscusvale_core::ticket::{Ticket, TicketDecision, TicketDesk, TicketSettings, TooManyTickets};
+use hibiscusvale_core::ticket::{Ticket, TicketDecision, TicketIssuer, TicketSettings, TooManyTickets};
 use parking_lot::Mutex;
 
 use crate::clock;
@@ -12,7 +12,7 @@
 /// The daemon's tickets, shared by the traffic threads. The lock is held for a look-up only.
 #[derive(Clone, Debug)]
 pub struct Tickets {
-    desk: Arc<Mutex<TicketDesk>>,
+    desk: Arc<Mutex<TicketIssuer>>,
 }
 
 /// What a caller's task is to do with a request that came with a ticket.
@@ -35,7 +35,7 @@
 impl Tickets {
     /// The tickets of the daemon `incarnation` on `host`.
     pub fn new(host: HostId, incarnation: Incarnation, settings: TicketSettings) -> Self {
-        Self { desk: Arc::new(Mutex::new(TicketDesk::new(host, incarnation, settings))) }
+        Self { desk: Arc::new(Mutex::new(TicketIssuer::new(host, incarnation, settings))) }
     }
 
     /// Gives a ticket.
@@ -44,7 +44,7 @@
     ///
     /// [`TooManyTickets`] of this partner.
     pub fn give(&self, partner: &PartnerId) -> Result<Ticket, TooManyTickets> {
-        self.desk.lock().give(clock::now(), partner)
+        self.desk.lock().issue(clock::now(), partner)
     }
 
     /// A request came with a ticket.
@@ -61,20 +61,20 @@
 impl TicketGuard {
     /// The server answered; `None` when the answer is not to be kept.
     pub fn answered(mut self, answer: Option<StoredAnswer>) {
-        self.finish(FinishedAs::Answered(answer.map(Arc::new)));
+        self.finish(RunOutcome::Answered(answer.map(Arc::new)));
     }
 
     /// It is proven that the request did not run. The ticket can be used again.
     pub fn not_run(mut self) {
-        self.finish(FinishedAs::NotRun);
+        self.finish(RunOutcome::NotRun);
     }
 
     /// The request may have run.
     pub fn unknown(mut self) {
-        self.finish(FinishedAs::Unknown);
+        self.finish(RunOutcome::Unknown);
     }
 
-    fn finish(&mut self, finished: FinishedAs) {
+    fn finish(&mut self, finished: RunOutcome) {
         if let Some(ticket) = self.ticket.take() {
             self.tickets.desk.lock().finish(&ticket, finished);
         }
@@ -83,6 +83,6 @@
 
 impl Drop for TicketGuard {
     fn drop(&mut self) {
-        self.finish(FinishedAs::Unknown);
+        self.finish(RunOutcome::Unknown);
     }
 }
--- a/crates/router/src/watcher.rs
+++ b/crates/router/src/watcher.rs
@@ -12,7 +12,7 @@
 use arc_swap::ArcSwap;
 use hibiscusvale_core::ids::{AttemptId, BackendServerId, HostId, Incarnation, RegionId, RequestId};
 use hibiscusvale_core::membership::MembersView;
-use hibiscusvale_core::orphan::{MemoryOwner, OrphanSettings, OrphanWatch, OwnerState, SeenOwner};
+use hibiscusvale_core::orphan::{MemoryOwner, OrphanDetector, OrphanSettings, OwnerState, ReportedOwner};
 use hibiscusvale_core::sched::{CacheEvent, CacheEventKind, Event, ServerRecord, ServerState};
 use hibiscusvale_core::slots::{
     HeldReport, LedgerAction, LedgerCounters, LedgerSettings, Role, SlotMessage, Watcher,
@@ -125,7 +125,7 @@
     /// Up to where the cache events of each watched prefill server are known.
     cache_seq: HashMap<BackendServerId, u64>,
     /// Which owners of that memory may be dead.
-    orphans: HashMap<BackendServerId, OrphanWatch>,
+    orphans: HashMap<BackendServerId, OrphanDetector>,
     reports: mpsc::UnboundedSender<Reported>,
     ready: watch::Sender<bool>,
     actions: Vec<LedgerAction>,
@@ -244,11 +244,11 @@
             return;
         };
         if !is_watched_here(&server.id, &server.data_centre, &server.region, view) {
-            self.ledgers.disown(now_us, &server.id, &mut self.actions);
+            self.ledgers.unwatch(now_us, &server.id, &mut self.actions);
             self.forget(&server.id);
             return;
         }
-        self.ledgers.own(now_us, &server.id, role_of(*role), *slots_total, *link_bytes_per_s, others);
+        self.ledgers.watch(now_us, &server.id, role_of(*role), *slots_total, *link_bytes_per_s, others);
         let leaving = !self.parts.directory.takes_work(now_us, server);
         if let Some(ledger) = self.ledgers.ledger_mut(&server.id) {
             ledger.set_leaving(now_us, leaving, &mut self.actions);
@@ -271,7 +271,7 @@
     /// A life that has ended registers no grants any more; a new watcher need not wait for it.
     fn forget_lives(&mut self, now_us: MonoTime, lives: &[Incarnation]) {
         for ended in self.lives.iter().filter(|life| !lives.contains(life)) {
-            self.ledgers.forget_home(now_us, *ended);
+            self.ledgers.forget_daemon(now_us, *ended);
         }
         self.lives = lives.to_vec();
     }
@@ -290,7 +290,7 @@
         let gone: Vec<_> =
             self.ledgers.servers().filter(|server| !listed.contains_key(*server)).cloned().collect();
         for server in gone {
-            self.ledgers.disown(now_us, &server, &mut self.actions);
+            self.ledgers.unwatch(now_us, &server, &mut self.actions);
             self.forget(&server);
         }
     }
@@ -356,12 +356,14 @@
     fn release_orphans(&mut self, now_us: MonoTime, server: &BackendServerId, load: &EngineLoad) {
         let view = self.parts.members.load();
         let owners: HashSet<&Owner> = load.held.iter().map(|held| &held.owner).collect();
-        let seen = owners.into_iter().map(|owner| SeenOwner {
+        let seen = owners.into_iter().map(|owner| ReportedOwner {
             owner: MemoryOwner { host: owner.host.clone(), incarnation: owner.incarnation },
             state: owner_state(owner, &view),
         });
-        let watch =
-            self.orphans.entry(server.clone()).or_insert_with(|| OrphanWatch::new(OrphanSettings::default()));
+        let watch = self
+            .orphans
+            .entry(server.clone())
+            .or_insert_with(|| OrphanDetector::new(OrphanSettings::default()));
         let full = load.slots_total > 0 && load.slots_used >= load.slots_total;
         let orphans = watch.orphans(now_us, full, seen);
         let Some(address) = self.parts.directory.address_of(server) else {
--- a/crates/standins/tests/e2e/stalled.rs
+++ b/crates/standins/tests/e2e/stalled.rs
@@ -10,7 +10,7 @@
     PrefillCall, Prefilled, StreamPart, TokenStream, Trust,
 };
 use hibiscusvale::daemon::{Daemon, Edges, new_incarnation};
-use hibiscusvale_core::order::{Order, OrderEnd};
+use hibiscusvale_core::order::{Order, OrderOutcome};
 use hibiscusvale_core::units::Millis;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpSocket;
@@ -71,7 +71,7 @@
         self.engines.cache_events(to, after)
     }
 
-    fn order(&self, to: SocketAddr, order: Order) -> BoxFuture<'_, Result<OrderEnd, EngineFailure>> {
+    fn order(&self, to: SocketAddr, order: Order) -> BoxFuture<'_, Result<OrderOutcome, EngineFailure>> {
         self.engines.order(to, order)
     }
 }
