--- a/crates/core/benches/config.rs
+++ b/crates/core/benches/config.rs
@@ -1,6 +1,7 @@
-//! What the configuration fold costs, by number of partners.
+//! Cost of the configuration fold, by number of partners.
 //!
-//! `cargo bench -p hibiscusvale-core --bench config`. The sizes are printed first.
+//! Run with `cargo bench -p hibiscusvale-core --bench config`. Record, checkpoint and memory sizes are
+//! printed first.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -41,7 +42,7 @@
 }
 
 impl Bench {
-    /// Partners with their classes, and a full history each.
+    /// Creates partners with all their classes and a full change history each.
     fn new(partners: usize) -> Self {
         let keys = (0..partners).map(|partner| (partner_id(partner), key(partner).verifying_key()));
         let mut fold = ConfigFold::new(keys.collect(), checkpoint_key());
@@ -71,7 +72,7 @@
     fn apply(&mut self, partner: usize, changes: Vec<ClassChange>) {
         let record = self.record(partner, changes);
         let offset = self.fold.state().next_offset();
-        assert_eq!(self.fold.take(offset, &record).accepted, 1);
+        assert_eq!(self.fold.ingest(offset, &record).accepted, 1);
         self.versions[partner] = Some(offset);
     }
 }
@@ -80,7 +81,7 @@
     CheckpointKey::derive(b"shared")
 }
 
-/// Anonymous resident memory of this process.
+/// Anonymous resident memory of this process in KiB.
 fn resident_kib() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("RssAnon:"));
@@ -104,11 +105,11 @@
         );
         let offset = state.next_offset();
         group.bench_function(
-            BenchmarkId::new("take one change, old state still read", partners),
+            BenchmarkId::new("fold one change while the old state is still read", partners),
             |bencher| {
                 bencher.iter_batched_ref(
                     || bench.fold.clone(),
-                    |fold| fold.take(offset, &record),
+                    |fold| fold.ingest(offset, &record),
                     BatchSize::SmallInput,
                 );
             },
@@ -133,7 +134,7 @@
     state: &ConfigState,
 ) {
     let (partner, class) = (partner_id(partners / 2), class(3));
-    group.bench_function(BenchmarkId::new("look a class up", partners), |bencher| {
+    group.bench_function(BenchmarkId::new("look up a class", partners), |bencher| {
         bencher.iter(|| state.class(black_box(&partner), black_box(&class)).copied());
     });
 }
--- a/crates/core/src/config/apply.rs
+++ b/crates/core/src/config/apply.rs
@@ -1,20 +1,20 @@
-//! Applies one change to a state.
+//! Applies a signed change to the configuration state.
 
 use crate::config::fold::PublisherKeys;
-use crate::config::history::{CHANGES_SHOWN, HistoryEntry, UnattributedRecord, Verdict};
-use crate::config::intake::RejectedRecord;
+use crate::config::fold_types::RejectedRecord;
+use crate::config::history::{HistoryEntry, MAX_HISTORY_CHANGES, UnattributedRecord, Verdict};
 use crate::config::record::{ChangeBody, SignedChange};
 use crate::config::reject::RejectReason;
 use crate::config::state::ConfigState;
 use crate::ids::Offset;
 
-/// A record that changed nothing, and the note of it where no partner's history holds it.
-pub(super) struct Refused {
+/// A rejected record. `unattributed` is set when no partner's history can hold the rejection.
+pub(super) struct Rejection {
     pub(super) record: RejectedRecord,
     pub(super) unattributed: Option<UnattributedRecord>,
 }
 
-impl Refused {
+impl Rejection {
     pub(super) fn unattributed(offset: Offset, reason: RejectReason) -> Self {
         Self {
             record: RejectedRecord { offset, publisher: None, reason: reason.clone() },
@@ -44,28 +44,28 @@
     }
 }
 
-/// Applies a change and remembers it, with what came of it, where its publisher will find it. Returns nothing
-/// when it is accepted.
+/// Verifies and applies a change, and records its verdict in the publisher's history. Returns `None` when the
+/// change is accepted.
 pub(super) fn apply_change(
     state: &mut ConfigState,
     keys: &PublisherKeys,
     offset: Offset,
     change: &SignedChange,
-) -> Option<Refused> {
-    // A record that only claims to be a partner's must not touch that partner's classes, version or history.
+) -> Option<Rejection> {
+    // A record that falsely names a publisher must not touch that partner's classes, version or history.
     if let Err(reason) = check_origin(keys, change) {
-        return Some(Refused::forged(offset, change, reason));
+        return Some(Rejection::forged(offset, change, reason));
     }
     let partner = state.partner_mut(&change.publisher);
     let body = change.open();
-    let checked = match &body {
+    let validation = match &body {
         Ok(body) => partner.check(change.change_id, body),
         Err(_) => Err(RejectReason::MalformedChange),
     };
-    let entry = history_entry(offset, change, body.as_ref().ok(), &checked);
-    partner.settle(entry, body.as_ref().map_or(&[], |body| &body.changes));
-    let reason = checked.err()?;
-    Some(Refused {
+    let entry = history_entry(offset, change, body.as_ref().ok(), &validation);
+    partner.commit(entry, body.as_ref().map_or(&[], |body| &body.changes));
+    let reason = validation.err()?;
+    Some(Rejection {
         record: RejectedRecord { offset, publisher: Some(change.publisher.clone()), reason },
         unattributed: None,
     })
@@ -80,9 +80,9 @@
     offset: Offset,
     change: &SignedChange,
     body: Option<&ChangeBody>,
-    checked: &Result<(), RejectReason>,
+    validation: &Result<(), RejectReason>,
 ) -> HistoryEntry {
-    let verdict = match checked {
+    let verdict = match validation {
         Ok(()) => Verdict::Accepted,
         Err(reason) => Verdict::Rejected(reason.clone()),
     };
@@ -99,7 +99,7 @@
         entry.changes_total = u32::try_from(body.changes.len()).unwrap_or(u32::MAX);
         entry.author = Some(body.author.clone());
         entry.made_at_unix_ms = body.made_at_unix_ms;
-        entry.changes = body.changes.iter().take(CHANGES_SHOWN).cloned().collect();
+        entry.changes = body.changes.iter().take(MAX_HISTORY_CHANGES).cloned().collect();
     }
     entry
 }
--- a/crates/core/src/config/checkpoint.rs
+++ b/crates/core/src/config/checkpoint.rs
@@ -1,7 +1,7 @@
-//! Checkpoints: the whole state at an offset, sealed by a daemon.
+//! Checkpoints: the full configuration state at an offset, authenticated by a daemon.
 //!
-//! The log is shared with the partners, and a checkpoint speaks for all of them, so only daemons may make one:
-//! it carries a code over its bytes with a key that only daemons have.
+//! Partners can append to the same log, and a checkpoint replaces the state of all of them. Each checkpoint
+//! therefore carries a MAC under a key that only daemons hold.
 
 use std::fmt;
 
@@ -10,37 +10,37 @@
 use crate::config::state::ConfigState;
 use crate::ids::Offset;
 
-/// Keeps the key apart from the other uses of the daemons' shared key.
+/// Separates this key from other keys derived from the daemons' shared key.
 const KEY_CONTEXT: &str = "hibiscusvale 2026 configuration checkpoint";
 
 const MAC_BYTES: usize = blake3::OUT_LEN;
 
-/// Key that daemons seal checkpoints with.
+/// Key under which daemons authenticate checkpoints.
 #[derive(Clone, Copy, Eq, PartialEq)]
 pub struct CheckpointKey([u8; blake3::KEY_LEN]);
 
-/// A state at an offset, with proof that a daemon made it.
+/// A configuration state at an offset with a MAC that proves it was written by a daemon.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct SealedCheckpoint {
-    /// The records before this offset are folded in; the one at it and later ones still count.
+    /// First offset that is not part of the state.
     pub next_offset: Offset,
     state: Vec<u8>,
     mac: [u8; MAC_BYTES],
 }
 
-/// A checkpoint that must not be used.
+/// Why a checkpoint was not accepted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum CheckpointError {
-    /// Not made by a daemon of this system.
-    #[error("checkpoint is not sealed with the daemons' key")]
+    /// The MAC does not match: the checkpoint was not written by a daemon of this system.
+    #[error("checkpoint MAC does not verify under the daemons' key")]
     Forged,
-    /// Made by a daemon, but of a release that encodes otherwise.
-    #[error("checkpoint could not be read")]
+    /// The MAC matches, but the state cannot be decoded, for example after an incompatible release.
+    #[error("checkpoint state cannot be decoded")]
     Encoding,
 }
 
 impl CheckpointKey {
-    /// Derives the key from the key that daemons share.
+    /// Derives the key from the secret shared by all daemons.
     pub fn derive(shared_key: &[u8]) -> Self {
         Self(blake3::derive_key(KEY_CONTEXT, shared_key))
     }
@@ -53,7 +53,7 @@
 }
 
 impl SealedCheckpoint {
-    /// Seals `state`.
+    /// Encodes and authenticates `state`.
     pub fn seal(state: &ConfigState, key: &CheckpointKey) -> Self {
         let encoded = postcard::to_allocvec(state).unwrap_or_default();
         Self {
@@ -63,14 +63,15 @@
         }
     }
 
-    /// Opens the checkpoint.
+    /// Verifies the MAC and decodes the state.
     ///
     /// # Errors
     ///
-    /// [`CheckpointError`] when it was not sealed with `key` or does not hold a state at its offset.
+    /// Returns [`CheckpointError`] if the MAC does not verify under `key` or the content is not a state at
+    /// `next_offset`.
     pub fn open(&self, key: &CheckpointKey) -> Result<ConfigState, CheckpointError> {
         let expected = blake3::Hash::from_bytes(mac(self.next_offset, &self.state, key));
-        // Comparing hashes of the library takes the same time wherever they differ.
+        // `blake3::Hash` compares in constant time.
         if expected != blake3::Hash::from_bytes(self.mac) {
             return Err(CheckpointError::Forged);
         }
@@ -81,7 +82,7 @@
         Ok(state)
     }
 
-    /// Bytes of the encoded state.
+    /// Size of the encoded state in bytes.
     pub fn state_bytes(&self) -> usize {
         self.state.len()
     }
--- a/crates/core/src/config/fold.rs
+++ b/crates/core/src/config/fold.rs
@@ -1,55 +1,57 @@
-//! Folds the records of the configuration stream into a state.
+//! Folds the configuration stream into a state.
 //!
-//! The state at an offset depends on the records before it and on nothing else. So records may come from the
-//! log or from peers, twice, in any order and in pieces, and a checkpoint may take the place of records that
-//! have expired; two daemons at the same offset always hold the same.
+//! The state at an offset depends only on the records before it. Records may therefore arrive from the log or
+//! from peers, in any order and more than once, and a checkpoint may replace expired records. Two daemons at
+//! the same offset hold the same state.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use ed25519_dalek::VerifyingKey;
 
-use crate::config::apply::{Refused, apply_change};
+use crate::config::apply::{Rejection, apply_change};
 use crate::config::checkpoint::{CheckpointError, CheckpointKey, SealedCheckpoint};
-use crate::config::intake::{AdoptError, Adopted, Intake, LogBounds, LogView, SeenCheckpoint};
+use crate::config::fold_types::{AdoptError, Adopted, FoldOutcome, LogBounds, LogView, SeenCheckpoint};
 use crate::config::record::{MAX_RECORD_BYTES, Record};
 use crate::config::reject::RejectReason;
 use crate::config::state::ConfigState;
 use crate::ids::{Offset, PartnerId};
 
-/// Keys that partners sign their changes with. They come from the settings and must be the same on all daemons:
-/// give a new partner's key to every daemon before the partner publishes.
+/// Public keys that verify partners' changes. They come from the settings and must be the same on all
+/// daemons: deploy a new partner's key to every daemon before the partner publishes.
 pub type PublisherKeys = BTreeMap<PartnerId, VerifyingKey>;
 
-/// Records held at most while earlier ones are missing: three hours of the busiest day to come.
+/// Maximum number of records buffered while earlier ones are missing: three hours at the highest expected
+/// daily load.
 const MAX_PENDING_RECORDS: usize = 8_192;
 
-/// Bytes of records held at most while earlier ones are missing; a quarter of what control may use.
+/// Maximum bytes of records buffered while earlier ones are missing: a quarter of the control plane's memory
+/// budget.
 const MAX_PENDING_BYTES: usize = 8 << 20;
 
-/// A record that waits for earlier ones.
+/// A record buffered until all earlier ones have arrived.
 #[derive(Clone, Debug)]
-enum Held {
-    Whole(Arc<[u8]>),
+enum PendingRecord {
+    Full(Arc<[u8]>),
     Elided,
 }
 
-impl Held {
+impl PendingRecord {
     fn bytes(&self) -> usize {
         match self {
-            Self::Whole(bytes) => bytes.len(),
+            Self::Full(bytes) => bytes.len(),
             Self::Elided => 0,
         }
     }
 }
 
-/// A daemon's fold over the configuration stream.
+/// One daemon's fold of the configuration stream.
 #[derive(Clone, Debug)]
 pub struct ConfigFold {
     keys: PublisherKeys,
     checkpoint_key: CheckpointKey,
     state: Arc<ConfigState>,
-    pending: BTreeMap<Offset, Held>,
+    pending: BTreeMap<Offset, PendingRecord>,
     pending_bytes: usize,
     dropped_to: Offset,
     genesis_allowed: bool,
@@ -58,7 +60,7 @@
 }
 
 impl ConfigFold {
-    /// A fold that knows nothing yet.
+    /// Creates an empty fold.
     pub fn new(keys: PublisherKeys, checkpoint_key: CheckpointKey) -> Self {
         Self {
             keys,
@@ -83,36 +85,36 @@
         self.checkpoint
     }
 
-    /// Allows a state to begin at offset 0. Until then a log that begins there is held back: if the platform
-    /// lost the log and started it afresh, a new daemon would take the few records in it for everything, and
-    /// callers would find their classes gone. The daemon allows it once its peers were asked for theirs.
-    pub fn allow_genesis(&mut self) -> Intake {
+    /// Allows the state to start from offset 0. Until then, records from offset 0 are only buffered: if the
+    /// platform lost the log and recreated it, a new daemon would take the few new records for the complete
+    /// configuration and drop existing classes. The daemon calls this after asking its peers for their state.
+    pub fn allow_genesis(&mut self) -> FoldOutcome {
         self.genesis_allowed = true;
-        let mut intake = Intake::default();
-        self.drain(&mut intake);
-        intake
+        let mut outcome = FoldOutcome::default();
+        self.drain(&mut outcome);
+        outcome
     }
 
-    /// The offset to read next. Records before it are of no use here, are held already, or had to be dropped
-    /// and are left to the checkpoint that will stand for them.
-    pub fn wanted(&self) -> Offset {
+    /// The offset to read next. Earlier records are already folded or buffered, or were dropped from the
+    /// buffer and have to be covered by a checkpoint.
+    pub fn read_offset(&self) -> Offset {
         let start_offset = self.bounds.map_or(Offset(0), |bounds| bounds.start_offset);
-        let mut wanted = self.state.next_offset.max(start_offset).max(self.dropped_to);
-        for &offset in self.pending.range(wanted..).map(|(offset, _)| offset) {
-            if offset != wanted {
+        let mut next_offset = self.state.next_offset.max(start_offset).max(self.dropped_to);
+        for &offset in self.pending.range(next_offset..).map(|(offset, _)| offset) {
+            if offset != next_offset {
                 break;
             }
-            wanted = wanted.next();
+            next_offset = next_offset.next();
         }
-        wanted
+        next_offset
     }
 
-    /// Notes what the log said of itself.
+    /// Records the bounds that the log last reported.
     pub fn observe_log(&mut self, bounds: LogBounds) {
         self.bounds = Some(bounds);
     }
 
-    /// How the log and the state in force stand to each other.
+    /// Compares the log with the state in force.
     pub fn log_view(&self) -> LogView {
         let Some(bounds) = self.bounds else {
             return LogView::Unread;
@@ -129,92 +131,92 @@
         }
     }
 
-    /// Takes a record in. Records already folded in are ignored, and those ahead of a hole are held until the
-    /// hole is filled or a checkpoint bridges it.
-    pub fn take(&mut self, offset: Offset, bytes: &[u8]) -> Intake {
-        let mut intake = Intake::default();
+    /// Folds a record. Records that are already folded are ignored; records after a gap are buffered until
+    /// the gap is filled or a checkpoint covers it.
+    pub fn ingest(&mut self, offset: Offset, bytes: &[u8]) -> FoldOutcome {
+        let mut outcome = FoldOutcome::default();
         if self.is_new(offset) {
             if offset > self.state.next_offset {
-                self.bridge(bytes, &mut intake);
+                self.adopt_checkpoint(bytes, &mut outcome);
             }
-            self.hold(offset, Held::Whole(Arc::from(bytes)));
-            self.drain(&mut intake);
+            self.buffer(offset, PendingRecord::Full(Arc::from(bytes)));
+            self.drain(&mut outcome);
         }
-        intake
+        outcome
     }
 
-    /// Takes in that a record stands at `offset` which a peer did not relay because it is larger than
-    /// [`MAX_RECORD_BYTES`]. Such a record changes nothing but the offset.
-    pub fn take_elided(&mut self, offset: Offset) -> Intake {
-        let mut intake = Intake::default();
+    /// Folds a record that a peer relayed without its content because it is larger than [`MAX_RECORD_BYTES`].
+    /// Such a record only advances the offset.
+    pub fn ingest_elided(&mut self, offset: Offset) -> FoldOutcome {
+        let mut outcome = FoldOutcome::default();
         if self.is_new(offset) {
-            self.hold(offset, Held::Elided);
-            self.drain(&mut intake);
+            self.buffer(offset, PendingRecord::Elided);
+            self.drain(&mut outcome);
         }
-        intake
+        outcome
     }
 
     fn is_new(&self, offset: Offset) -> bool {
         offset >= self.state.next_offset && !self.pending.contains_key(&offset)
     }
 
-    /// Takes a state that a peer holds, if it is newer.
+    /// Adopts a peer's state if it is newer.
     ///
     /// # Errors
     ///
-    /// [`AdoptError`] when no daemon sealed it.
+    /// Returns [`AdoptError`] if the checkpoint is not authentic or cannot be decoded.
     pub fn adopt(&mut self, checkpoint: &SealedCheckpoint) -> Result<Adopted, AdoptError> {
-        // Only a higher offset is adopted. A peer that lags, or an old checkpoint that is read again, would
-        // otherwise take back what callers were already served by.
+        // A lagging peer or an old checkpoint that is read again must not revert a state that requests were
+        // already served from.
         if checkpoint.next_offset <= self.state.next_offset {
             return Ok(Adopted::NotNewer);
         }
         let state = checkpoint.open(&self.checkpoint_key)?;
         self.state = Arc::new(state);
-        self.forget_folded();
-        self.drain(&mut Intake::default());
+        self.drop_folded();
+        self.drain(&mut FoldOutcome::default());
         Ok(Adopted::Newer)
     }
 
-    /// The state in force, sealed for peers and the log.
+    /// Returns the state in force as a checkpoint for peers and the log.
     pub fn seal(&self) -> SealedCheckpoint {
         SealedCheckpoint::seal(&self.state, &self.checkpoint_key)
     }
 
-    /// A checkpoint behind a hole takes the place of the records that are missing before it.
-    fn bridge(&mut self, bytes: &[u8], intake: &mut Intake) {
+    /// Adopts a checkpoint that lies after a gap, which makes the missing records before it unnecessary.
+    fn adopt_checkpoint(&mut self, bytes: &[u8], outcome: &mut FoldOutcome) {
         if let Ok(Record::Checkpoint(checkpoint)) = Record::decode(bytes)
             && self.adopt(&checkpoint) == Ok(Adopted::Newer)
         {
-            intake.advanced = true;
+            outcome.advanced = true;
         }
     }
 
-    fn hold(&mut self, offset: Offset, held: Held) {
+    fn buffer(&mut self, offset: Offset, record: PendingRecord) {
         if offset < self.state.next_offset {
             return;
         }
-        self.pending_bytes += held.bytes();
-        self.pending.insert(offset, held);
-        // Which records are dropped decides only how late a checkpoint can still bridge the hole: the oldest
-        // are the ones that a later checkpoint stands for.
+        self.pending_bytes += record.bytes();
+        self.pending.insert(offset, record);
+        // Drops the oldest records first: a later checkpoint covers them. Dropping only affects how late a
+        // checkpoint can still close the gap.
         while self.pending.len() > MAX_PENDING_RECORDS || self.pending_bytes > MAX_PENDING_BYTES {
-            let Some((dropped, held)) = self.pending.pop_first() else {
+            let Some((dropped, record)) = self.pending.pop_first() else {
                 break;
             };
-            self.pending_bytes -= held.bytes();
+            self.pending_bytes -= record.bytes();
             self.dropped_to = dropped.next();
         }
     }
 
-    fn forget_folded(&mut self) {
+    fn drop_folded(&mut self) {
         let kept = self.pending.split_off(&self.state.next_offset);
         self.pending = kept;
         self.dropped_to = Offset(0);
-        self.pending_bytes = self.pending.values().map(Held::bytes).sum();
+        self.pending_bytes = self.pending.values().map(PendingRecord::bytes).sum();
     }
 
-    fn drain(&mut self, intake: &mut Intake) {
+    fn drain(&mut self, outcome: &mut FoldOutcome) {
         if !self.state.is_known() && !self.genesis_allowed {
             return;
         }
@@ -222,42 +224,43 @@
             if *entry.key() != self.state.next_offset {
                 break;
             }
-            let (offset, held) = entry.remove_entry();
-            self.pending_bytes -= held.bytes();
-            intake.advanced = true;
+            let (offset, record) = entry.remove_entry();
+            self.pending_bytes -= record.bytes();
+            outcome.advanced = true;
             Arc::make_mut(&mut self.state).next_offset = offset.next();
-            if let Held::Whole(bytes) = held {
-                self.apply(offset, &bytes, intake);
+            if let PendingRecord::Full(bytes) = record {
+                self.apply(offset, &bytes, outcome);
             }
         }
     }
 
-    fn apply(&mut self, offset: Offset, bytes: &[u8], intake: &mut Intake) {
+    fn apply(&mut self, offset: Offset, bytes: &[u8], outcome: &mut FoldOutcome) {
         let state = Arc::make_mut(&mut self.state);
-        let refused = match Record::decode(bytes) {
+        let rejection = match Record::decode(bytes) {
             Ok(Record::Checkpoint(checkpoint)) => {
                 if checkpoint.open(&self.checkpoint_key) != Err(CheckpointError::Forged) {
                     self.checkpoint = Some(SeenCheckpoint { offset, next_offset: checkpoint.next_offset });
                     return;
                 }
-                Refused::unattributed(offset, RejectReason::ForgedCheckpoint)
+                Rejection::unattributed(offset, RejectReason::ForgedCheckpoint)
             }
-            _ if bytes.len() > MAX_RECORD_BYTES => Refused::unattributed(offset, RejectReason::TooLarge),
+            _ if bytes.len() > MAX_RECORD_BYTES => Rejection::unattributed(offset, RejectReason::TooLarge),
             Ok(Record::Change(change)) => {
-                let Some(refused) = apply_change(state, &self.keys, offset, &change) else {
-                    intake.accepted += 1;
+                let Some(rejection) = apply_change(state, &self.keys, offset, &change) else {
+                    outcome.accepted += 1;
                     return;
                 };
-                refused
+                rejection
             }
-            Err(_) => Refused::unattributed(offset, RejectReason::Malformed),
+            Err(_) => Rejection::unattributed(offset, RejectReason::Malformed),
         };
-        intake.rejected.push(refused.record);
-        // What is relayed without its content must leave the same state behind as here.
-        if let Some(unattributed) = refused.unattributed
+        outcome.rejected.push(rejection.record);
+        // A record that is relayed without its content must produce the same state here as on daemons that
+        // only receive the relayed form.
+        if let Some(unattributed) = rejection.unattributed
             && bytes.len() <= MAX_RECORD_BYTES
         {
-            state.note_unattributed(unattributed);
+            state.push_unattributed(unattributed);
         }
     }
 }
--- a/crates/core/src/config/history.rs
+++ b/crates/core/src/config/history.rs
@@ -1,4 +1,4 @@
-//! Who changed what. Bounded, part of the state, and so the same on every daemon.
+//! Bounded change history. It is part of the state and therefore identical on every daemon.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,54 +6,55 @@
 use crate::config::reject::RejectReason;
 use crate::ids::{ChangeId, Offset, PartnerId};
 
-/// Changes remembered per partner. A lost reply is looked up within seconds and a slip within hours; at 16
-/// the histories of 280 partners stay under a megabyte in each daemon and each checkpoint.
+/// History entries kept per partner. Lost replies are looked up within seconds and operator errors within
+/// hours; at 16 entries the histories of 280 partners stay under 1 MB per daemon and per checkpoint.
 pub const HISTORY_PER_PARTNER: usize = 16;
 
-/// Changes of one record that the history spells out.
-pub(super) const CHANGES_SHOWN: usize = 4;
+/// Maximum number of changes of one record that are stored in the history.
+pub(super) const MAX_HISTORY_CHANGES: usize = 4;
 
-/// Records remembered that could not be laid to any partner.
-pub const UNATTRIBUTED_KEPT: usize = 32;
+/// Maximum number of unattributed records kept.
+pub const MAX_UNATTRIBUTED_RECORDS: usize = 32;
 
-/// One change of a partner, accepted or not.
+/// One change of a partner, accepted or rejected.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct HistoryEntry {
-    /// Where the record stands.
+    /// Offset of the record.
     pub offset: Offset,
-    /// Names the change.
+    /// Identifies the change across repeated appends.
     pub change_id: ChangeId,
-    /// Who made it; absent where the content was not understood.
+    /// Operator who made the change; absent if the content could not be decoded.
     pub author: Option<Author>,
-    /// When, by the operator's clock.
+    /// Time of the change in milliseconds since the Unix epoch, by the operator's clock; 0 if the content
+    /// could not be decoded.
     pub made_at_unix_ms: u64,
-    /// What came of it.
+    /// Whether the change was accepted.
     pub verdict: Verdict,
-    /// The first few changes in it.
+    /// The first changes of the record; the list may be truncated.
     pub changes: Vec<ClassChange>,
-    /// How many changes it holds.
+    /// Number of changes in the record.
     pub changes_total: u32,
 }
 
-/// What came of a change.
+/// Result of validating a change.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum Verdict {
-    /// It is in force, or was until a later one.
+    /// The change took effect. A later change may have replaced it.
     Accepted,
-    /// It changed nothing.
+    /// The change had no effect.
     Rejected(RejectReason),
 }
 
-/// A record that is no change of any partner, as far as can be proved. It is kept apart from the histories, so
-/// that forged records cannot push a partner's own changes out.
+/// A record that cannot be proved to come from any partner. These are stored apart from the histories, so
+/// that forged records cannot evict a partner's own changes.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct UnattributedRecord {
-    /// Where the record stands.
+    /// Offset of the record.
     pub offset: Offset,
-    /// The partner that it claims to come from.
+    /// The partner named in the record; absent if the record is not a readable change.
     pub claimed_publisher: Option<PartnerId>,
-    /// The change id that it carries.
+    /// The change id in the record; absent if the record is not a readable change.
     pub change_id: Option<ChangeId>,
-    /// Why it changed nothing.
+    /// Why the record was rejected.
     pub reason: RejectReason,
 }
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -1,15 +1,14 @@
-//! Configuration: what partners publish, folded from the platform's log.
+//! Configuration: the classes that partners publish, folded from the platform's log.
 //!
-//! Every daemon folds the same records in the order of their offsets and so comes to the same state, without
-//! any agreement of their own. The fold only moves forward: nothing at a lower offset, and no log that has
-//! become shorter, takes back what was accepted.
+//! Every daemon folds the same records in offset order and reaches the same state without further agreement.
+//! The fold only moves forward: neither a lower offset nor a truncated log reverts an accepted change.
 
 mod apply;
 mod checkpoint;
-mod duty;
+mod checkpoint_schedule;
 mod fold;
+mod fold_types;
 mod history;
-mod intake;
 mod partner;
 mod record;
 mod reject;
@@ -17,10 +16,10 @@
 mod target;
 
 pub use checkpoint::{CheckpointError, CheckpointKey, SealedCheckpoint};
-pub use duty::{CheckpointDuty, CheckpointDutySettings};
+pub use checkpoint_schedule::{CheckpointSchedule, CheckpointScheduleSettings};
 pub use fold::{ConfigFold, PublisherKeys};
-pub use history::{HISTORY_PER_PARTNER, HistoryEntry, UNATTRIBUTED_KEPT, UnattributedRecord, Verdict};
-pub use intake::{AdoptError, Adopted, Intake, LogBounds, LogView, RejectedRecord, SeenCheckpoint};
+pub use fold_types::{AdoptError, Adopted, FoldOutcome, LogBounds, LogView, RejectedRecord, SeenCheckpoint};
+pub use history::{HISTORY_PER_PARTNER, HistoryEntry, MAX_UNATTRIBUTED_RECORDS, UnattributedRecord, Verdict};
 pub use partner::{MAX_CLASSES_PER_PARTNER, PartnerConfig, PublishedClass};
 pub use record::{
     Author, ChangeBody, ClassChange, MAX_CHANGES_PER_RECORD, MAX_RECORD_BYTES, ParseAuthorError, Record,
--- a/crates/core/src/config/partner.rs
+++ b/crates/core/src/config/partner.rs
@@ -1,4 +1,4 @@
-//! What one partner has published, and what may change it.
+//! Published configuration of one partner and validation of its changes.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -11,10 +11,11 @@
 use crate::config::target::ClassTarget;
 use crate::ids::{ChangeId, ClassName, Offset};
 
-/// Classes that a partner may have. Ten are usual; the bound keeps one partner from filling every daemon.
+/// Maximum number of classes per partner. Ten are typical; the bound limits the memory that one partner can
+/// use on every daemon.
 pub const MAX_CLASSES_PER_PARTNER: usize = 64;
 
-/// What one partner has published.
+/// Published configuration of one partner.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize)]
 #[serde(from = "Content")]
 pub struct PartnerConfig {
@@ -32,9 +33,9 @@
 /// A class in force.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct PublishedClass {
-    /// Its target.
+    /// Latency target of the class.
     pub target: ClassTarget,
-    /// The change that set it.
+    /// Offset of the change that last set the target.
     pub changed_at: Offset,
 }
 
@@ -60,7 +61,8 @@
 }
 
 impl PartnerConfig {
-    /// Offset of the partner's last accepted change: what the next change has to be made from.
+    /// Offset of the partner's last accepted change, which the next change has to be based on. `None` before
+    /// the first one.
     pub fn version(&self) -> Option<Offset> {
         self.content.version
     }
@@ -70,7 +72,7 @@
         self.content.classes.iter()
     }
 
-    /// The latest changes, oldest first.
+    /// The most recent changes, oldest first.
     pub fn history(&self) -> impl Iterator<Item = &HistoryEntry> {
         self.content.history.iter().map(AsRef::as_ref)
     }
@@ -80,30 +82,29 @@
         self.content.classes.len()
     }
 
-    /// The target of a class.
+    /// The target of a class, if the class exists.
     pub fn target(&self, class: &ClassName) -> Option<&ClassTarget> {
         self.content.classes.get(class).map(|published| &published.target)
     }
 
-    /// A hash over all of it.
+    /// Hash over the classes, version and history.
     pub fn digest(&self) -> blake3::Hash {
         self.digest
     }
 
-    /// Checks a change against what is in force. It is decided here, at the record's place in the log, who
-    /// comes first: of two changes made from one version the earlier record is accepted and the later one
-    /// rejected, on every daemon alike.
+    /// Validates a change against the classes in force. Conflicts are resolved by log order: of two changes
+    /// based on the same version, every daemon accepts the earlier record and rejects the later one.
     pub(super) fn check(&self, change_id: ChangeId, body: &ChangeBody) -> Result<(), RejectReason> {
         self.content.check(change_id, body)
     }
 
-    /// Puts `accepted` into force and notes what came of the change. The only way to change a partner, so that
-    /// its hash cannot be left behind.
-    pub(super) fn settle(&mut self, entry: HistoryEntry, accepted: &[ClassChange]) {
+    /// Applies the change if its verdict is accepted and appends it to the history. This is the only
+    /// mutation, so the digest is always up to date.
+    pub(super) fn commit(&mut self, entry: HistoryEntry, accepted: &[ClassChange]) {
         if entry.verdict == Verdict::Accepted {
-            self.content.accept(entry.offset, accepted);
+            self.content.apply(entry.offset, accepted);
         }
-        self.content.note(entry);
+        self.content.push_history(entry);
         self.digest = self.content.digest();
     }
 }
@@ -133,9 +134,9 @@
     }
 
     fn accepted_at(&self, change_id: ChangeId) -> Option<Offset> {
-        let is_it =
+        let is_match =
             |entry: &&Arc<HistoryEntry>| entry.change_id == change_id && entry.verdict == Verdict::Accepted;
-        self.history.iter().find(is_it).map(|entry| entry.offset)
+        self.history.iter().find(is_match).map(|entry| entry.offset)
     }
 
     fn check_classes(&self, changes: &[ClassChange]) -> Result<(), RejectReason> {
@@ -168,8 +169,8 @@
         Ok(())
     }
 
-    /// Puts a checked change into force.
-    fn accept(&mut self, offset: Offset, changes: &[ClassChange]) {
+    /// Applies a validated change.
+    fn apply(&mut self, offset: Offset, changes: &[ClassChange]) {
         self.version = Some(offset);
         for change in changes {
             match change {
@@ -184,7 +185,7 @@
         }
     }
 
-    fn note(&mut self, entry: HistoryEntry) {
+    fn push_history(&mut self, entry: HistoryEntry) {
         if self.history.len() >= HISTORY_PER_PARTNER {
             self.history.pop_front();
         }
--- a/crates/core/src/config/record.rs
+++ b/crates/core/src/config/record.rs
@@ -10,39 +10,40 @@
 use crate::config::target::ClassTarget;
 use crate::ids::{ChangeId, ClassName, Offset, PartnerId};
 
-/// Largest change record: all classes that a partner may have, with the longest names. Daemons relay nothing
-/// larger to each other, so a larger record must not change the state, or daemons that read the log themselves
-/// would come to another state than those that do not.
+/// Maximum size of a change record: all classes of a partner with the longest names. Daemons relay no larger
+/// record, so a larger one must not change the state; otherwise daemons that read the log would diverge from
+/// those that rely on relays.
 pub const MAX_RECORD_BYTES: usize = 8 << 10;
 
-/// Classes that one change may touch.
+/// Maximum number of classes in one change.
 pub const MAX_CHANGES_PER_RECORD: usize = 64;
 
-/// Longest author's name in bytes.
+/// Maximum length of an author name in bytes.
 const MAX_AUTHOR_BYTES: usize = 64;
 
-/// First byte of each record. A daemon that meets another one rejects the record, as all of its release do.
-const FORMAT: u8 = 1;
+/// Format version, the first byte of each record. A record with another version is rejected, by all daemons
+/// of a release alike.
+const FORMAT_VERSION: u8 = 1;
 
-/// Keeps a signature over a change from being one over anything else.
+/// Domain separation: a signature over a change is not valid for any other purpose.
 const SIGNATURE_DOMAIN: &[u8] = b"hibiscusvale configuration change 1";
 
 /// One record of the configuration stream.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum Record {
-    /// A partner's change.
+    /// A change signed by a partner.
     Change(SignedChange),
-    /// The state at an earlier offset, so that older records may expire.
+    /// The state at an earlier offset, which allows older records to expire.
     Checkpoint(SealedCheckpoint),
 }
 
-/// A change with its publisher's signature. What is signed stays as bytes, so that a change whose content is
-/// not understood can still be told to whoever signed it.
+/// A change with its publisher's signature. The signed body stays encoded, so that a change that cannot be
+/// decoded is still reported to its verified signer.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct SignedChange {
-    /// Whose classes it changes, and whose key signed it.
+    /// The partner whose classes change, and whose key signed the change.
     pub publisher: PartnerId,
-    /// Names the change over all its appends.
+    /// Identifies the change across repeated appends.
     pub change_id: ChangeId,
     /// An encoded [`ChangeBody`].
     pub body: Vec<u8>,
@@ -50,52 +51,54 @@
     pub signature: Vec<u8>,
 }
 
-/// What a change says.
+/// Content of a change.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct ChangeBody {
-    /// The publisher's version that the operator saw; the change is rejected if another came first.
+    /// The publisher's version that the change is based on; it is rejected if another version is in force.
+    /// `None` before the first change.
     pub made_from: Option<Offset>,
-    /// Who made it, for the history.
+    /// Operator who made the change, for the history.
     pub author: Author,
-    /// When it was made, by the operator's clock, for the history only.
+    /// Time of the change in milliseconds since the Unix epoch, by the operator's clock; for the history
+    /// only.
     pub made_at_unix_ms: u64,
-    /// What changes. All of it, or nothing.
+    /// Changes to classes, applied all or not at all.
     pub changes: Vec<ClassChange>,
 }
 
 /// A change to one class of the publisher.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum ClassChange {
-    /// Creates the class, or replaces its target.
+    /// Creates the class or replaces its target.
     Publish {
-        /// The class.
+        /// The class to create or update.
         class: ClassName,
-        /// Its target from now on.
+        /// The new target.
         target: ClassTarget,
     },
-    /// Deletes the class. Requests that are running keep the target they came in with.
+    /// Deletes the class. Running requests keep the target they were admitted with.
     Delete {
-        /// The class.
+        /// The class to delete.
         class: ClassName,
     },
 }
 
-/// Bytes that are no record.
+/// Why bytes could not be decoded as a record.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum RecordError {
-    /// Encoded by another release, or nothing of ours.
-    #[error("format {found:?} is not understood")]
+    /// The format version is unknown: the record is from another release or from other software.
+    #[error("record format version {found:?} is not supported")]
     Format {
-        /// The first byte, if there is one.
+        /// The first byte, or `None` if the record is empty.
         found: Option<u8>,
     },
-    /// Cut off or altered.
-    #[error("record could not be read")]
+    /// The record is truncated or corrupted.
+    #[error("record is truncated or corrupted")]
     Encoding,
 }
 
 impl ClassChange {
-    /// The class that changes.
+    /// The class that the change applies to.
     pub fn class(&self) -> &ClassName {
         match self {
             Self::Publish { class, .. } | Self::Delete { class } => class,
@@ -113,19 +116,19 @@
 }
 
 impl Record {
-    /// The record as it is appended.
+    /// Encodes the record for appending.
     pub fn encode(&self) -> Vec<u8> {
-        // Writing plain data to memory has no way to fail; an empty record would be rejected by every daemon.
-        postcard::to_extend(self, vec![FORMAT]).unwrap_or_default()
+        // Serializing to memory cannot fail; if it did, every daemon would reject the empty record.
+        postcard::to_extend(self, vec![FORMAT_VERSION]).unwrap_or_default()
     }
 
-    /// Reads an appended record.
+    /// Decodes an appended record.
     ///
     /// # Errors
     ///
-    /// [`RecordError`] when the bytes are not one record and nothing else.
+    /// Returns [`RecordError`] unless the bytes are exactly one record.
     pub fn decode(bytes: &[u8]) -> Result<Self, RecordError> {
-        let Some((&FORMAT, encoded)) = bytes.split_first() else {
+        let Some((&FORMAT_VERSION, encoded)) = bytes.split_first() else {
             return Err(RecordError::Format { found: bytes.first().copied() });
         };
         match postcard::take_from_bytes(encoded) {
@@ -136,7 +139,7 @@
 }
 
 impl ChangeBody {
-    /// Signs the change for `publisher`.
+    /// Encodes the change and signs it for `publisher`.
     pub fn sign(&self, publisher: &PartnerId, change_id: ChangeId, key: &SigningKey) -> SignedChange {
         let body = postcard::to_allocvec(self).unwrap_or_default();
         let signature = key.sign(&signed_bytes(publisher, change_id, &body)).to_bytes().to_vec();
@@ -145,7 +148,7 @@
 }
 
 impl SignedChange {
-    /// Whether `key` signed it.
+    /// Whether the signature verifies under `key`.
     pub fn is_signed_by(&self, key: &VerifyingKey) -> bool {
         let Ok(signature) = Signature::from_slice(&self.signature) else {
             return false;
@@ -154,11 +157,11 @@
         key.verify_strict(&signed, &signature).is_ok()
     }
 
-    /// What it says.
+    /// Decodes the change.
     ///
     /// # Errors
     ///
-    /// [`RecordError::Encoding`] when the signed bytes are no change.
+    /// Returns [`RecordError::Encoding`] if the signed bytes are not a change.
     pub fn open(&self) -> Result<ChangeBody, RecordError> {
         match postcard::take_from_bytes(&self.body) {
             Ok((body, [])) => Ok(body),
@@ -171,12 +174,13 @@
     postcard::to_allocvec(&(SIGNATURE_DOMAIN, publisher, change_id, body)).unwrap_or_default()
 }
 
-/// Who made a change: an operator's name. Printable, so that a history cannot garble a terminal.
+/// Name of the operator who made a change. Control characters are not allowed, so that showing a history
+/// cannot corrupt a terminal.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, Deserialize, Serialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Author(String);
 
-/// An author's name that cannot stand.
+/// The author name has an invalid length or contains control characters.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("author must have 1 to {MAX_AUTHOR_BYTES} bytes and no control characters")]
 pub struct ParseAuthorError;
--- a/crates/core/src/config/reject.rs
+++ b/crates/core/src/config/reject.rs
@@ -1,89 +1,89 @@
-//! Why a record changed nothing.
+//! Reasons for rejecting a record.
 
 use serde::{Deserialize, Serialize};
 
 use crate::config::target::TargetError;
 use crate::ids::{ClassName, Offset};
 
-/// Why a record of the configuration stream changed nothing. Each is shown to the publisher that the record
-/// names, so each says what is to be done differently.
+/// Why a record of the configuration stream was rejected. The text is shown to the publisher named in the
+/// record, so it states what to correct.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize, thiserror::Error)]
 pub enum RejectReason {
-    /// The bytes are no record.
+    /// The bytes cannot be decoded as a record.
     #[error("bytes are not a configuration record")]
     Malformed,
-    /// The record is larger than any honest one.
+    /// The record exceeds the maximum size of a valid record.
     #[error("record is larger than allowed")]
     TooLarge,
-    /// No key is known for the publisher that it names.
+    /// No key is configured for the publisher named in the record.
     #[error("no key is known for the publisher")]
     UnknownPublisher,
-    /// The signature is not that of the publisher that it names.
+    /// The signature does not verify under the publisher's key.
     #[error("signature is not the publisher's")]
     BadSignature,
-    /// A checkpoint that no daemon sealed.
+    /// The checkpoint's MAC does not verify.
     #[error("checkpoint is not sealed by a daemon")]
     ForgedCheckpoint,
-    /// Signed by its publisher, but what was signed is no change.
+    /// The signature is valid, but the signed bytes cannot be decoded as a change.
     #[error("signed bytes are not a change")]
     MalformedChange,
-    /// The same change was accepted at an earlier offset: an append was repeated.
+    /// The same change was accepted at an earlier offset; the append was repeated.
     #[error("change was accepted at offset {first} already")]
     Duplicate {
-        /// Where it was accepted.
+        /// Offset at which it was accepted.
         first: Offset,
     },
-    /// The publisher's classes changed since the version that the change was made from.
-    #[error("made from version {}, but version {} is in force", Shown(*made_from), Shown(*in_force))]
+    /// The publisher's classes changed after the version that the change is based on.
+    #[error("made from version {}, but version {} is in force", DisplayVersion(*made_from), DisplayVersion(*in_force))]
     Conflict {
-        /// The version that the change was made from.
+        /// Version that the change is based on; `None` before the first one.
         made_from: Option<Offset>,
-        /// The version that was in force at the record's offset.
+        /// Version in force at the record's offset; `None` before the first one.
         in_force: Option<Offset>,
     },
-    /// The change holds nothing.
+    /// The change contains no classes.
     #[error("change is empty")]
     Empty,
-    /// The change holds more than one record may.
+    /// The change contains more classes than one record may.
     #[error("change holds {found} classes, at most {limit} are allowed")]
     TooManyChanges {
-        /// Classes in it.
+        /// Number of classes in the change.
         found: u32,
-        /// Classes allowed.
+        /// Maximum number allowed.
         limit: u32,
     },
-    /// One change names one class twice.
+    /// The change names the same class more than once.
     #[error("class {class} is named twice")]
     RepeatedClass {
-        /// The class.
+        /// The repeated class.
         class: ClassName,
     },
     /// The class to delete does not exist.
     #[error("class {class} does not exist")]
     UnknownClass {
-        /// The class.
+        /// The missing class.
         class: ClassName,
     },
-    /// A target that cannot stand.
+    /// The target is out of range.
     #[error("class {class}: {error}")]
     BadTarget {
-        /// The class.
+        /// The class with the invalid target.
         class: ClassName,
-        /// What is wrong.
+        /// Which value is out of range.
         error: TargetError,
     },
-    /// The publisher would have more classes than allowed.
+    /// The publisher would exceed its maximum number of classes.
     #[error("publisher would have {found} classes, at most {limit} are allowed")]
     TooManyClasses {
-        /// Classes it would have.
+        /// Number of classes after the change.
         found: u32,
-        /// Classes allowed.
+        /// Maximum number allowed.
         limit: u32,
     },
 }
 
 impl RejectReason {
-    /// The reason in counters.
+    /// The reason's label in metrics.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
@@ -104,9 +104,9 @@
     }
 }
 
-struct Shown(Option<Offset>);
+struct DisplayVersion(Option<Offset>);
 
-impl std::fmt::Display for Shown {
+impl std::fmt::Display for DisplayVersion {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self.0 {
             Some(offset) => offset.fmt(f),
--- a/crates/core/src/config/state.rs
+++ b/crates/core/src/config/state.rs
@@ -1,17 +1,17 @@
-//! Configuration at one offset.
+//! Configuration state at one offset.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-use crate::config::history::{UNATTRIBUTED_KEPT, UnattributedRecord};
+use crate::config::history::{MAX_UNATTRIBUTED_RECORDS, UnattributedRecord};
 use crate::config::partner::PartnerConfig;
 use crate::config::target::ClassTarget;
 use crate::ids::{ClassName, Offset, PartnerId};
 
-/// All that is in force at one offset of the configuration stream. Partners are shared between versions, so
-/// that a new version costs one partner and not all.
+/// The configuration in force at one offset of the stream. Partners are shared between versions, so that a
+/// new version copies only the partner that changed.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct ConfigState {
     pub(super) next_offset: Offset,
@@ -20,44 +20,44 @@
 }
 
 impl ConfigState {
-    /// Whether any configuration is known. While it is not, a class that is not found may well exist, and a
-    /// request must be told to come back rather than that its class is unknown.
+    /// Whether any configuration has been loaded. Until then a class that is not found may still exist, so
+    /// requests get a retryable error instead of an unknown-class error.
     pub fn is_known(&self) -> bool {
         self.next_offset > Offset(0)
     }
 
-    /// The offset of the first record that is not folded in. Higher is newer, on any daemon.
+    /// Offset of the first record that is not folded. A higher offset is newer, on any daemon.
     pub fn next_offset(&self) -> Offset {
         self.next_offset
     }
 
-    /// The target of a class.
+    /// The target of a class, if the class exists.
     pub fn class(&self, partner: &PartnerId, class: &ClassName) -> Option<&ClassTarget> {
         self.partners.get(partner)?.target(class)
     }
 
-    /// What a partner has published.
+    /// What a partner has published, if it has published anything or attempted to.
     pub fn partner(&self, partner: &PartnerId) -> Option<&PartnerConfig> {
         self.partners.get(partner).map(AsRef::as_ref)
     }
 
-    /// All partners that have published or tried to.
+    /// All partners that have published or attempted to.
     pub fn partners(&self) -> impl Iterator<Item = (&PartnerId, &PartnerConfig)> {
         self.partners.iter().map(|(partner, config)| (partner, config.as_ref()))
     }
 
-    /// Number of classes in force over all partners.
+    /// Number of classes in force, over all partners.
     pub fn classes_total(&self) -> usize {
         self.partners.values().map(|config| config.classes_total()).sum()
     }
 
-    /// The latest records that no partner can be shown to have made, oldest first.
+    /// The most recent records that cannot be attributed to a partner, oldest first.
     pub fn unattributed(&self) -> impl Iterator<Item = &UnattributedRecord> {
         self.unattributed.iter()
     }
 
-    /// A hash over all of it. Two daemons at the same offset must show the same. Each partner holds its own
-    /// hash, so that a change costs one partner's content and not that of 280.
+    /// Hash over the whole state; it is equal on all daemons at the same offset. Each partner caches its own
+    /// hash, so that a change rehashes one partner instead of all 280.
     pub fn digest(&self) -> blake3::Hash {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&self.next_offset.0.to_le_bytes());
@@ -73,8 +73,8 @@
         Arc::make_mut(self.partners.entry(partner.clone()).or_default())
     }
 
-    pub(super) fn note_unattributed(&mut self, record: UnattributedRecord) {
-        if self.unattributed.len() >= UNATTRIBUTED_KEPT {
+    pub(super) fn push_unattributed(&mut self, record: UnattributedRecord) {
+        if self.unattributed.len() >= MAX_UNATTRIBUTED_RECORDS {
             self.unattributed.pop_front();
         }
         self.unattributed.push_back(record);
--- a/crates/core/src/config/target.rs
+++ b/crates/core/src/config/target.rs
@@ -6,59 +6,60 @@
 
 use crate::units::Millis;
 
-/// Largest target. An hour is far beyond what anybody waits for; a larger number is a slip of the keyboard.
+/// Largest target that is accepted: one hour. It exceeds any useful latency, so a larger value is a typing
+/// error.
 pub const MAX_TARGET_MS: Millis = Millis(3_600_000);
 
-/// What a partner wants of a class of its work. It states a target and nothing else: no weight, no share, no
-/// server.
+/// Service objective of a class. A partner sets only a latency target, never a weight, a share or a server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct ClassTarget {
-    /// The kind of work, with the target of that kind.
+    /// Kind of work, with the target for that kind.
     pub kind: TargetKind,
 }
 
-/// The kinds of work.
+/// Kinds of work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum TargetKind {
-    /// Language work: a request meets its target when its first token and its tokens on average come in time.
+    /// Language model requests. A request meets its target when both the first token and the average time per
+    /// token are in time.
     Language {
-        /// From arrival to the first token.
+        /// Time from arrival to the first token.
         first_token_ms: Millis,
-        /// Between tokens, on average over the request.
+        /// Time between tokens, averaged over the request.
         per_token_ms: Millis,
     },
     /// Calls to plain services.
     Plain {
-        /// From arrival to the whole answer.
+        /// Time from arrival to the complete response.
         response_ms: Millis,
     },
 }
 
-/// A target that cannot stand.
+/// A target outside the allowed range.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize, thiserror::Error)]
 #[error("target of {found_ms} is outside 1 to {MAX_TARGET_MS}")]
 pub struct TargetError {
-    /// What was asked for.
+    /// The rejected value.
     pub found_ms: Millis,
 }
 
 impl ClassTarget {
-    /// A target of language work.
+    /// Creates a target for language model requests.
     pub fn language(first_token_ms: Millis, per_token_ms: Millis) -> Self {
         Self { kind: TargetKind::Language { first_token_ms, per_token_ms } }
     }
 
-    /// A target of calls to plain services.
+    /// Creates a target for calls to plain services.
     pub fn plain(response_ms: Millis) -> Self {
         Self { kind: TargetKind::Plain { response_ms } }
     }
 
-    /// Checks that each span is from 1 ms to [`MAX_TARGET_MS`]. A target that no engine can meet is allowed: it
-    /// is the partner's own loss, and admission keeps it from being anybody else's.
+    /// Checks that each value is between 1 ms and [`MAX_TARGET_MS`]. A target that no engine can meet is
+    /// valid: it harms only its own partner, since admission protects the others.
     ///
     /// # Errors
     ///
-    /// [`TargetError`] with the first span outside.
+    /// Returns [`TargetError`] with the first value that is out of range.
     pub fn check(&self) -> Result<(), TargetError> {
         let spans = match self.kind {
             TargetKind::Language { first_token_ms, per_token_ms } => [first_token_ms, per_token_ms],
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers. Each kind has its own type, so that one cannot be passed for another.
+//! Identifier types. Each kind of identifier has a distinct type, so that one cannot be passed for another.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,43 +6,43 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Longest accepted name in bytes. Names travel in every peer message; the bound keeps those small.
+/// Maximum length of a name in bytes. Every peer message carries names, so the bound limits message size.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// Longest accepted idempotency key in bytes.
+/// Maximum length of an idempotency key in bytes.
 pub const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
 
-/// An identifier that could not be read.
+/// Why text could not be parsed as an identifier.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum ParseIdError {
     /// The text is empty.
     #[error("{kind} is empty")]
     Empty {
-        /// What was being read.
+        /// Kind of identifier that was parsed.
         kind: &'static str,
     },
     /// The text is longer than the kind allows.
     #[error("{kind} has {length_bytes} bytes, at most {limit_bytes} are allowed")]
     TooLong {
-        /// What was being read.
+        /// Kind of identifier that was parsed.
         kind: &'static str,
-        /// Length found.
+        /// Actual length.
         length_bytes: usize,
-        /// Length allowed.
+        /// Maximum length.
         limit_bytes: usize,
     },
-    /// The text holds a character that the kind does not allow.
+    /// The text contains a character that is not allowed in this kind of identifier.
     #[error("{kind} holds the character {found:?}, which is not allowed")]
     Character {
-        /// What was being read.
+        /// Kind of identifier that was parsed.
         kind: &'static str,
-        /// The first offending character.
+        /// The first invalid character.
         found: char,
     },
-    /// The text is not a number in the expected form.
+    /// The text is not a number in the expected format.
     #[error("{kind} is not a number in the expected form")]
     Number {
-        /// What was being read.
+        /// Kind of identifier that was parsed.
         kind: &'static str,
     },
 }
@@ -119,15 +119,15 @@
 }
 
 text_id!(
-    /// An entry host: one daemon runs on it.
+    /// An entry host, which runs one daemon.
     HostId, "host", MAX_NAME_BYTES, is_name_character
 );
 text_id!(
-    /// A data centre, with entry hosts and backend servers of its own.
+    /// A data centre with its own entry hosts and backend servers.
     DataCentreId, "data_centre", MAX_NAME_BYTES, is_name_character
 );
 text_id!(
-    /// A region: data centres a few milliseconds apart.
+    /// A region: data centres within a few milliseconds of each other.
     RegionId, "region", MAX_NAME_BYTES, is_name_character
 );
 text_id!(
@@ -135,11 +135,11 @@
     PartnerId, "partner", MAX_NAME_BYTES, is_name_character
 );
 text_id!(
-    /// A class of work of one partner.
+    /// A class of requests of one partner.
     ClassName, "class", MAX_NAME_BYTES, is_name_character
 );
 text_id!(
-    /// A model that engines load.
+    /// A model that engines serve.
     ModelId, "model", MAX_NAME_BYTES, is_name_character
 );
 text_id!(
@@ -147,11 +147,11 @@
     BackendServerId, "backend_server", MAX_NAME_BYTES, is_name_character
 );
 text_id!(
-    /// A service that routes lead to: engines of one kind, or instances of one plain service.
+    /// A service that routes refer to: engines of one kind, or instances of one plain service.
     ServiceId, "service", MAX_NAME_BYTES, is_name_character
 );
 text_id!(
-    /// A caller's name for a request that must not run twice. Unique per partner.
+    /// A caller's identifier for a request that must not be executed twice. Unique per partner.
     IdempotencyKey, "idempotency key", MAX_IDEMPOTENCY_KEY_BYTES, is_key_character
 );
 
@@ -178,23 +178,23 @@
 }
 
 hex_id!(
-    /// One life of a daemon: wall-clock milliseconds at its start in the upper 64 bits, random bits below.
-    /// A later life of the same host compares greater.
+    /// Identifies one run of a daemon process: Unix time in milliseconds at its start in the upper 64 bits,
+    /// random bits in the lower. A later incarnation on the same host compares greater.
     Incarnation(u128), "incarnation", "32"
 );
 hex_id!(
-    /// Names one configuration change over all its appends, so that a lost reply can be resolved.
+    /// Identifies one configuration change across repeated appends, so that a lost reply can be resolved.
     ChangeId(u128), "change id", "32"
 );
 
 impl Incarnation {
-    /// Makes the incarnation of a daemon that starts at `unix_ms`; `random` tells apart the daemons of a fleet that
+    /// Creates the incarnation of a daemon that starts at `unix_ms`; `random` distinguishes daemons that
     /// start in the same millisecond.
     pub fn new(unix_ms: u64, random: u64) -> Self {
         Self((u128::from(unix_ms) << u64::BITS) | u128::from(random))
     }
 
-    /// What the daemon's random choices start from.
+    /// Seed for the daemon's random number generators.
     pub fn seed(self) -> u64 {
         #[expect(clippy::cast_possible_truncation, reason = "both halves are mixed")]
         let halves = ((self.0 >> u64::BITS) as u64, self.0 as u64);
@@ -202,12 +202,13 @@
     }
 }
 
-/// A request, for ever: the daemon's life and a counter in it. Never reused, because incarnations are not.
+/// Identifies a request: the daemon's incarnation and a counter. Never reused, because incarnations are
+/// unique.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct RequestId {
-    /// The life of the daemon that took the request in.
+    /// Incarnation of the daemon that accepted the request.
     pub incarnation: Incarnation,
-    /// Counter in that life.
+    /// Counter within the incarnation.
     pub sequence: u64,
 }
 
@@ -230,13 +231,13 @@
     }
 }
 
-/// One try at a request on backend servers. Engines know requests by it, so that a cancellation or an answer
-/// that belongs to an abandoned try cannot touch a later one.
+/// One attempt to execute a request on backend servers. Engines identify requests by it, so that a
+/// cancellation or an answer of an abandoned attempt cannot affect a later one.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct AttemptId {
-    /// The request.
+    /// The request that is attempted.
     pub request_id: RequestId,
-    /// Counts the tries from zero.
+    /// Number of the attempt, from zero.
     pub attempt: u32,
 }
 
@@ -261,7 +262,7 @@
 pub struct Offset(pub u64);
 
 impl Offset {
-    /// The position after this one.
+    /// The offset after this one.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0 + 1)
@@ -282,7 +283,7 @@
     }
 }
 
-/// Number that orders the holders of a lease: the log offset of the lease's record.
+/// Fencing token that orders the holders of a lease: the log offset of the lease's record.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct FencingNumber(pub u64);
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,9 +1,8 @@
 //! Decision logic of hibiscusvale.
 //!
-//! Everything here is a state machine without input or output: it takes the present time, an event and
-//! its own state, and returns typed actions. The edges that carry the actions out live in the
-//! `hibiscusvale` crate. The crate's dependency list keeps it so: there is no runtime, socket or file
-//! library to reach for.
+//! Every module is a state machine without input or output: it takes the current time, an event and its own
+//! state, and returns typed actions. The `hibiscusvale` crate executes the actions. The dependency list
+//! enforces this: the crate depends on no async runtime, socket or file library.
 
 pub mod allowance;
 pub mod claim;
--- a/crates/core/src/membership/data_centres.rs
+++ b/crates/core/src/membership/data_centres.rs
@@ -1,4 +1,4 @@
-//! The other data centres, by statements of their daemons.
+//! Other data centres, as known from their digests and membership summaries.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,22 +8,22 @@
 use crate::ids::{DataCentreId, HostId};
 use crate::units::{Micros, MonoTime};
 
-/// What is known of one data centre as a whole.
+/// The membership summary of one data centre.
 #[derive(Clone, Debug)]
 pub(crate) struct DataCentre {
     pub(crate) state: DataCentreState,
     pub(crate) hash: [u8; 4],
-    /// When the version last rose here.
-    pub(crate) heard_us: MonoTime,
+    /// Local time at which the version last increased.
+    pub(crate) last_update_us: MonoTime,
 }
 
 impl DataCentre {
     pub(crate) fn is_reachable(&self, now_us: MonoTime, settings: &MembershipSettings) -> bool {
-        now_us.since(self.heard_us) <= Micros::from(settings.unreachable_after_ms)
+        now_us.since(self.last_update_us) <= Micros::from(settings.unreachable_after_ms)
     }
 }
 
-/// Hash over the tags of live daemons.
+/// Hash over the tags of the live daemons of a data centre.
 pub(crate) fn hash_tags(tags: &[MemberTag]) -> [u8; 4] {
     let mut hasher = blake3::Hasher::new();
     for tag in tags {
@@ -33,13 +33,13 @@
     [a, b, c, d]
 }
 
-/// The data centres, the own one included, and the records of daemons in the others.
+/// All data centres, the local one included, with the records of daemons in the others.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DataCentres {
     by_tag: BTreeMap<DataCentreTag, DataCentre>,
     records: BTreeMap<MemberTag, MemberRecord>,
     hosts: BTreeMap<HostId, MemberTag>,
-    /// Raised whenever records or statements change.
+    /// Incremented whenever a record or summary changes.
     changes: u64,
 }
 
@@ -55,8 +55,8 @@
             .collect()
     }
 
-    /// Takes a digest in; true when the statement behind it has to be fetched.
-    pub(crate) fn hear(&mut self, now_us: MonoTime, digest: DataCentreDigest) -> bool {
+    /// Applies a digest. Returns whether the membership summary has to be fetched.
+    pub(crate) fn apply_digest(&mut self, now_us: MonoTime, digest: DataCentreDigest) -> bool {
         let Some(data_centre) = self.by_tag.get_mut(&digest.data_centre) else {
             return true;
         };
@@ -67,11 +67,11 @@
             return true;
         }
         data_centre.state.version = digest.version;
-        data_centre.heard_us = now_us;
+        data_centre.last_update_us = now_us;
         false
     }
 
-    /// Takes a statement in, if it is newer than the one known.
+    /// Adopts a membership summary if it is newer than the known one.
     pub(crate) fn adopt(&mut self, now_us: MonoTime, state: DataCentreState) {
         let tag = DataCentreTag::of(&state.data_centre);
         if self.by_tag.get(&tag).is_some_and(|data_centre| data_centre.state.version >= state.version) {
@@ -79,7 +79,7 @@
         }
         self.changes += 1;
         let hash = hash_tags(&state.tags);
-        let data_centre = DataCentre { state, hash, heard_us: now_us };
+        let data_centre = DataCentre { state, hash, last_update_us: now_us };
         self.by_tag.insert(tag, data_centre);
         self.prune(tag);
     }
@@ -88,7 +88,7 @@
         self.changes
     }
 
-    pub(crate) fn learn(&mut self, record: MemberRecord) {
+    pub(crate) fn update_record(&mut self, record: MemberRecord) {
         let tag = record.tag();
         if self.records.contains_key(&tag) {
             return;
@@ -97,17 +97,17 @@
         if let Some(old) = self.hosts.insert(record.host.clone(), tag)
             && old != tag
         {
-            // An older life that a statement still names stays known until the statement changes.
-            let named = self.by_tag.values().any(|data_centre| data_centre.state.tags.contains(&old));
-            if !named {
+            // Keep the record of an older incarnation while a summary still refers to it.
+            let is_referenced = self.by_tag.values().any(|data_centre| data_centre.state.tags.contains(&old));
+            if !is_referenced {
                 self.records.remove(&old);
             }
         }
         self.records.insert(tag, record);
     }
 
-    /// Drops records that the newest statement of their data centre does not name, once it is known in part:
-    /// until then the old ones are the only way to reach that data centre.
+    /// Drops records that the newest summary of a data centre does not list. While none of the listed records
+    /// is known, the old ones are kept: they are the only way to reach that data centre.
     fn prune(&mut self, tag: DataCentreTag) {
         let Some(data_centre) = self.by_tag.get(&tag) else {
             return;
@@ -131,9 +131,9 @@
             .copied()
     }
 
-    pub(crate) fn excuse(&mut self, pause_us: Micros) {
+    pub(crate) fn shift_times(&mut self, pause_us: Micros) {
         for data_centre in self.by_tag.values_mut() {
-            data_centre.heard_us = data_centre.heard_us + pause_us;
+            data_centre.last_update_us = data_centre.last_update_us + pause_us;
         }
     }
 
@@ -158,7 +158,7 @@
         self.records.values().any(|record| record.peer_address == address)
     }
 
-    /// Records of one data centre, whether its newest statement names them or not.
+    /// Known records of one data centre, whether its newest summary lists them or not.
     pub(crate) fn records_in<'a>(
         &'a self,
         data_centre: &'a DataCentreId,
@@ -166,7 +166,7 @@
         self.records.values().filter(move |record| &record.data_centre == data_centre)
     }
 
-    /// Names of the other data centres of which a daemon is known.
+    /// Names of the other data centres of which at least one daemon is known.
     pub(crate) fn names(&self) -> Vec<DataCentreId> {
         let mut names: Vec<DataCentreId> =
             self.records.values().map(|record| record.data_centre.clone()).collect();
--- a/crates/core/src/membership/event.rs
+++ b/crates/core/src/membership/event.rs
@@ -1,4 +1,4 @@
-//! What happens to the membership of a daemon, and what it wants done.
+//! Events and actions of the membership state machine.
 
 use std::net::SocketAddr;
 
@@ -6,73 +6,73 @@
 use super::view::MembersView;
 use crate::ids::{DataCentreId, HostId, Incarnation};
 
-/// A daemon that may be reached at an address, from the settings or the platform's list.
+/// Address of a potential daemon, from the settings or the platform's host list.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Contact {
-    /// Its host, where known.
+    /// Host name, if known.
     pub host: Option<HostId>,
-    /// Where it takes messages of other daemons.
+    /// Address for peer messages.
     pub peer_address: SocketAddr,
-    /// Its data centre, where known.
+    /// Data centre, if known.
     pub data_centre: Option<DataCentreId>,
 }
 
-/// What happens to the membership of a daemon.
+/// Input to the membership state machine.
 #[derive(Clone, Debug)]
 pub enum MembershipEvent {
-    /// [`MembershipSettings::tick_ms`] have passed.
+    /// [`MembershipSettings::tick_ms`] have elapsed.
     Tick,
-    /// A message of another daemon.
+    /// A message from another daemon.
     Message {
-        /// Its host.
+        /// Host of the sender.
         from: HostId,
-        /// Its life.
+        /// Incarnation of the sender.
         incarnation: Incarnation,
-        /// What it says.
+        /// The message.
         message: MembershipMessage,
     },
-    /// The entry hosts of the platform's list. The list lags, so it only says whom to try.
+    /// Entry hosts from the platform's host list. The list lags, so it only names hosts to contact.
     Listed(Vec<Contact>),
-    /// This daemon begins to stop: its work is to move.
+    /// This daemon starts to shut down; its jobs have to be reassigned.
     Leave,
 }
 
-/// What membership wants done.
+/// Output of the membership state machine.
 #[derive(Clone, Debug)]
 pub enum MembershipAction {
     /// Send a message to a daemon.
     Send {
-        /// Its host, where known.
+        /// Host of the receiver, if known.
         to: Option<HostId>,
-        /// Where it takes messages of other daemons.
+        /// Address for peer messages.
         address: SocketAddr,
-        /// What to say.
+        /// The message.
         message: MembershipMessage,
     },
-    /// The view changed.
+    /// The membership view changed.
     Publish(MembersView),
-    /// A newer life of this very host is there: this process was replaced and has to stop.
+    /// A newer incarnation runs on this host: this process was replaced and has to stop.
     Superseded {
-        /// The newer life.
+        /// The newer incarnation.
         by: Incarnation,
     },
 }
 
-/// Counts of what happened, for metrics.
+/// Event counters, for metrics.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct MembershipCounts {
-    /// Daemons that were suspected.
+    /// Number of times that a daemon became suspect.
     pub suspected: u64,
-    /// Daemons that were taken for dead.
+    /// Number of times that a daemon was declared dead.
     pub died: u64,
-    /// Daemons that were taken for dead and then heard of again in the same life.
+    /// Number of times that a daemon declared dead was heard again in the same incarnation.
     pub revived: u64,
-    /// Pauses of this daemon.
+    /// Number of times that this daemon was paused.
     pub paused: u64,
 }
 
 impl MembershipCounts {
-    /// The counts by name, for metrics.
+    /// Counter values by metric label.
     pub fn by_name(&self) -> [(&'static str, u64); 4] {
         [
             ("member-suspected", self.suspected),
--- a/crates/core/src/membership/judging.rs
+++ b/crates/core/src/membership/failure_detection.rs
@@ -1,8 +1,8 @@
-//! Who lives: judged by heartbeats at this daemon's own clock, and published when it changes.
+//! Failure detection by heartbeat age on the local clock, and publication of the resulting view.
 
 use std::collections::BTreeMap;
 
-use super::table::Known;
+use super::table::KnownMember;
 use super::{
     Fingerprint, Member, MemberRecord, MemberState, MembersView, Membership, MembershipAction,
     MembershipMessage,
@@ -12,23 +12,23 @@
 use crate::watch::hash_name;
 
 impl Membership {
-    /// After a pause everybody looks silent, because this daemon did not listen. Taking all of them for dead
-    /// would make it claim all their work at once; so the pause is added to their times. Its own counter
-    /// jumps by the pause, which makes the last echo old: until somebody echoes a new one it knows that the
-    /// others may have given its work away.
-    pub(super) fn notice_pause(&mut self, now_us: MonoTime) {
-        let gap_us = self.ticked_us.map_or(Micros::ZERO, |ticked_us| now_us.since(ticked_us));
-        self.ticked_us = Some(now_us);
+    /// Detects that this process was suspended. Every other daemon then appears silent; declaring them dead
+    /// would make this daemon claim all their jobs, so their deadlines are extended by the gap. The own
+    /// heartbeat counter advances by the gap, which makes the last echo stale: until a peer echoes a newer
+    /// value, this daemon assumes that its jobs may have been reassigned.
+    pub(super) fn detect_pause(&mut self, now_us: MonoTime) {
+        let gap_us = self.last_tick_us.map_or(Micros::ZERO, |last_tick_us| now_us.since(last_tick_us));
+        self.last_tick_us = Some(now_us);
         if gap_us <= self.settings.pause_us() {
             return;
         }
         self.counts.paused += 1;
         self.counter += gap_us.0 / Micros::from(self.settings.tick_ms).0;
-        self.table.excuse(gap_us);
-        self.data_centres.excuse(gap_us);
+        self.table.shift_times(gap_us);
+        self.data_centres.shift_times(gap_us);
     }
 
-    pub(super) fn judge(&mut self, now_us: MonoTime, actions: &mut Vec<MembershipAction>) {
+    pub(super) fn detect_failures(&mut self, now_us: MonoTime, actions: &mut Vec<MembershipAction>) {
         let dead_before = self.table.all().filter(|known| known.is_dead).count();
         self.table.expire(now_us, &self.settings);
         let dead_after = self.table.all().filter(|known| known.is_dead).count();
@@ -36,8 +36,8 @@
 
         let tick_us = Micros::from(self.settings.tick_ms);
         let suspect_after_us = Micros::from(self.settings.suspect_after_ms);
-        for known in self.table.living() {
-            let age_us = now_us.since(known.heard_us);
+        for known in self.table.live() {
+            let age_us = now_us.since(known.last_heartbeat_us);
             if age_us <= suspect_after_us {
                 continue;
             }
@@ -58,7 +58,7 @@
             return;
         }
         self.fingerprint = fingerprint;
-        let mut view = self.look(now_us);
+        let mut view = self.build_view(now_us);
         if view == self.view {
             return;
         }
@@ -67,22 +67,22 @@
         actions.push(MembershipAction::Publish(view));
     }
 
-    /// What the view depends on, without the view: hundreds of records need not be copied at each tick to
-    /// find that nothing changed.
+    /// The inputs of the view. Comparing them avoids rebuilding hundreds of records at each tick when nothing
+    /// changed.
     pub(super) fn fingerprint(&self, now_us: MonoTime) -> Fingerprint {
-        let here = self.table.living().map(|known| (known.tag, self.local_state(now_us, known)));
+        let local = self.table.live().map(|known| (known.tag, self.local_state(now_us, known)));
         let reachable =
             self.data_centres.all().map(|(_, data_centre)| data_centre.is_reachable(now_us, &self.settings));
         Fingerprint {
             own_tag: self.own_tag,
             is_heard: self.is_heard(now_us),
-            here: here.collect(),
+            local: local.collect(),
             remote_changes: self.data_centres.changes(),
             reachable: reachable.collect(),
         }
     }
 
-    pub(super) fn look(&self, now_us: MonoTime) -> MembersView {
+    pub(super) fn build_view(&self, now_us: MonoTime) -> MembersView {
         let mut members: BTreeMap<DataCentreId, Vec<Member>> = BTreeMap::new();
         for (tag, data_centre) in self.data_centres.all() {
             if *tag == self.own_data_centre {
@@ -93,13 +93,13 @@
             let listed = known.map(|record| make_member(record, remote_state(record, is_reachable)));
             members.insert(data_centre.state.data_centre.clone(), sorted(listed.collect()));
         }
-        let mut here: Vec<Member> = self
+        let mut local: Vec<Member> = self
             .table
-            .living()
+            .live()
             .map(|known| make_member(&known.record, self.local_state(now_us, known)))
             .collect();
-        here.push(make_member(&self.own, remote_state(&self.own, true)));
-        members.insert(self.own.data_centre.clone(), sorted(here));
+        local.push(make_member(&self.own, remote_state(&self.own, true)));
+        members.insert(self.own.data_centre.clone(), sorted(local));
         MembersView {
             version: self.view.version,
             own_host: Some(self.own.host.clone()),
@@ -109,29 +109,30 @@
         }
     }
 
-    pub(super) fn local_state(&self, now_us: MonoTime, known: &Known) -> MemberState {
+    pub(super) fn local_state(&self, now_us: MonoTime, known: &KnownMember) -> MemberState {
         if known.record.leaving {
             return MemberState::Leaving;
         }
-        if now_us.since(known.heard_us) > Micros::from(self.settings.suspect_after_ms) {
+        if now_us.since(known.last_heartbeat_us) > Micros::from(self.settings.suspect_after_ms) {
             return MemberState::Suspect;
         }
         MemberState::Live
     }
 
-    /// Whether the others still hear this daemon: one of them echoed a counter younger than what makes a
-    /// daemon dead. A daemon that hears nobody is alone, or cut off with all its servers' other watchers,
-    /// and has to serve what it can.
+    /// Whether peers still receive this daemon's heartbeats: one of them echoed a counter that is younger
+    /// than the dead threshold. A daemon with no live peers is alone, or cut off together with its backend
+    /// servers, and keeps serving.
     pub(super) fn is_heard(&self, now_us: MonoTime) -> bool {
-        if self.table.living().next().is_none() {
+        if self.table.live().next().is_none() {
             return self.may_be_alone(now_us);
         }
         let unheard_ms = Millis(self.counter.saturating_sub(self.echoed) * self.settings.tick_ms.0);
         self.echoed > 0 && unheard_ms <= self.settings.dead_after_ms
     }
 
-    /// A newcomer knows nobody yet and would take all work of its data centre for itself. It waits until it
-    /// has had time to meet the others, unless there is nobody to meet.
+    /// Whether this daemon may act without live peers. A new daemon that knows no peers would take over all
+    /// jobs of its data centre, so it first waits [`MembershipSettings::settle_ms`], unless there are no
+    /// other contacts.
     pub(super) fn may_be_alone(&self, now_us: MonoTime) -> bool {
         let has_others = self
             .seeds
--- a/crates/core/src/membership/message.rs
+++ b/crates/core/src/membership/message.rs
@@ -1,4 +1,4 @@
-//! What daemons say to each other about who lives.
+//! Messages of the membership protocol.
 
 use std::net::SocketAddr;
 
@@ -6,42 +6,43 @@
 
 use crate::ids::{DataCentreId, HostId, Incarnation, RegionId};
 
-/// Short name of one [`MemberRecord`]: the first four bytes of its hash. Any change of the record changes it,
-/// so a heartbeat under a known tag needs to carry nothing else, and an unknown tag asks for the record.
+/// Compact identifier of a [`MemberRecord`]: the first four bytes of its hash. Any change to the record
+/// changes the tag, so a heartbeat carries only the tag, and the receiver fetches the record of an unknown
+/// tag.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct MemberTag(pub [u8; 4]);
 
-/// Short name of a data centre: the first four bytes of its name's hash.
+/// Compact identifier of a data centre: the first four bytes of its name's hash.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct DataCentreTag(pub [u8; 4]);
 
 impl DataCentreTag {
-    /// The short name of `data_centre`.
+    /// Computes the tag of `data_centre`.
     pub fn of(data_centre: &DataCentreId) -> Self {
         let [a, b, c, d, ..] = *blake3::hash(data_centre.as_str().as_bytes()).as_bytes();
         Self([a, b, c, d])
     }
 }
 
-/// What a daemon says of itself. Only the daemon itself makes one.
+/// Record that a daemon publishes about itself. No other daemon creates one for it.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct MemberRecord {
-    /// Its host.
+    /// Host of the daemon.
     pub host: HostId,
-    /// Its life; a greater one replaces it, also under the same address.
+    /// Incarnation of the daemon. A greater one replaces the record, also under the same address.
     pub incarnation: Incarnation,
-    /// Where it takes messages of other daemons.
+    /// Address for peer messages.
     pub peer_address: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentreId,
-    /// Its region.
+    /// Region of the data centre.
     pub region: RegionId,
-    /// Whether it is stopping and hands its work over.
+    /// Whether the daemon is shutting down and its jobs have to be reassigned.
     pub leaving: bool,
 }
 
 impl MemberRecord {
-    /// The record's tag.
+    /// Computes the tag of the record.
     pub fn tag(&self) -> MemberTag {
         let mut hasher = blake3::Hasher::new();
         for part in [self.host.as_str(), self.data_centre.as_str(), self.region.as_str()] {
@@ -56,73 +57,73 @@
     }
 }
 
-/// One heartbeat as last heard, from the daemon itself or through others.
+/// The newest known heartbeat of a daemon, received directly or through others.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Heartbeat {
-    /// Whose.
+    /// Tag of the daemon's record.
     pub tag: MemberTag,
-    /// Raised by that daemon at each of its ticks, by nobody else.
+    /// Incremented only by that daemon, at each tick.
     pub counter: u64,
 }
 
-/// What is known of one data centre as a whole: compared first, fetched when it differs.
+/// Digest of a data centre's membership summary. The summary is fetched only when the digest differs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct DataCentreDigest {
-    /// Short name of the data centre.
+    /// Tag of the data centre.
     pub data_centre: DataCentreTag,
-    /// Version of its statement; raised at least every few seconds while the data centre is reachable.
+    /// Version of the summary, incremented at least every few seconds while the data centre is reachable.
     pub version: u64,
-    /// Hash over the tags of its live daemons.
+    /// Hash over the tags of the live daemons.
     pub hash: [u8; 4],
 }
 
-/// The live daemons of one data centre, as stated by one of them.
+/// Membership summary: the live daemons of one data centre, as published by one of them.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct DataCentreState {
     /// The data centre.
     pub data_centre: DataCentreId,
-    /// Raised with each statement.
+    /// Incremented with each summary.
     pub version: u64,
-    /// Its live daemons, ascending.
+    /// Tags of the live daemons, ascending.
     pub tags: Vec<MemberTag>,
 }
 
-/// What daemons say to each other about who lives.
+/// Messages of the membership protocol.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub enum MembershipMessage {
-    /// Heartbeats of the sender's data centre and digests of all.
+    /// Heartbeats of the sender's data centre and digests of all data centres.
     Gossip {
-        /// The sender's record, when the receiver may not have it.
+        /// Record of the sender, if the receiver may not have it.
         sender: Option<MemberRecord>,
-        /// Heartbeats as the sender knows them; empty across data centres.
+        /// Newest heartbeats known to the sender; empty across data centres.
         heartbeats: Vec<Heartbeat>,
-        /// Digests of the data centres.
+        /// Digests of the membership summaries.
         data_centres: Vec<DataCentreDigest>,
     },
-    /// Asks for what a gossip named and the sender lacks.
+    /// Requests records and summaries that the sender lacks.
     Pull {
-        /// Records wanted.
+        /// Tags of the requested records.
         tags: Vec<MemberTag>,
-        /// Data centres wanted, by short name.
+        /// Tags of the requested data centres.
         data_centres: Vec<DataCentreTag>,
-        /// The sender's record, when the receiver may not have it.
+        /// Record of the sender, if the receiver may not have it.
         sender: Option<MemberRecord>,
     },
-    /// Answers a pull.
+    /// Response to a pull.
     Push {
-        /// Records, as their owners made them.
+        /// Member records, unmodified.
         records: Vec<MemberRecord>,
-        /// Statements of data centres.
+        /// Membership summaries of data centres.
         data_centres: Vec<DataCentreState>,
     },
-    /// Asks a daemon that seems silent whether it lives.
+    /// Probes a daemon whose heartbeats are late.
     Ping {
-        /// Returned with the answer.
+        /// The sender's heartbeat counter.
         counter: u64,
     },
-    /// Answers a ping.
+    /// Response to a ping.
     Pong {
-        /// The answering daemon's present heartbeat.
+        /// Current heartbeat of the responding daemon.
         heartbeat: Heartbeat,
     },
 }
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -1,16 +1,18 @@
-//! Which daemons live.
+//! Membership and failure detection.
 //!
-//! Inside a data centre each daemon raises a heartbeat counter at each tick and sends the counters it knows
-//! to one other daemon. A counter that has not risen for a while makes its daemon suspect, then dead; each
-//! daemon judges by its own clock, so there is no verdict that could be wrong and spread. Heartbeats travel
-//! over any path, so one lost message, or one direction of one link, kills nobody.
+//! Within a data centre each daemon increments a heartbeat counter at each tick and gossips the counters it
+//! knows to one other daemon. A daemon whose counter stops increasing becomes suspect and then dead. Each
+//! daemon decides by its own clock and does not share the decision, so a wrong one cannot propagate.
+//! Heartbeats travel over any path, so one lost message, or one failed direction of a link, does not make a
+//! daemon dead.
 //!
-//! Across data centres a few daemons of each exchange digests: one statement per data centre with a version
-//! and a hash, fetched only when it differs. `docs/MEMBERSHIP.md` has the arithmetic and the ways weighed.
+//! Across data centres a few daemons exchange digests: each data centre has one membership summary with a
+//! version and a hash, which is fetched only when it differs. `docs/MEMBERSHIP.md` has the arithmetic and the
+//! alternatives.
 
 mod data_centres;
 mod event;
-mod judging;
+mod failure_detection;
 mod message;
 mod receiving;
 mod sending;
@@ -35,25 +37,26 @@
 pub use self::settings::MembershipSettings;
 pub use self::view::{Member, MemberState, MembersView};
 
-/// Time between two pulls.
-const PULL_GAP: Millis = Millis(100);
-/// Tags asked for in one pull at most.
-const PULLED_TAGS: usize = 24;
-/// Statements asked for in one pull at most.
-const PULLED_CENTRES: usize = 4;
-/// Tags remembered as wanted at most; the rest is heard of again.
-const WANTED_TAGS: usize = 1_024;
+/// Minimum time between two pulls.
+const MIN_PULL_INTERVAL: Millis = Millis(100);
+/// Maximum number of records requested in one pull.
+const MAX_TAGS_PER_PULL: usize = 24;
+/// Maximum number of data centres requested in one pull.
+const MAX_DATA_CENTRES_PER_PULL: usize = 4;
+/// Maximum number of tags queued for pulling. Further ones are queued when a later heartbeat names them
+/// again.
+const MAX_WANTED_TAGS: usize = 1_024;
 
 #[derive(Debug, Default, PartialEq)]
 struct Fingerprint {
     own_tag: MemberTag,
     is_heard: bool,
-    here: Vec<(MemberTag, MemberState)>,
+    local: Vec<(MemberTag, MemberState)>,
     remote_changes: u64,
     reachable: Vec<bool>,
 }
 
-/// The membership of one daemon.
+/// Membership state machine of one daemon.
 #[derive(Debug)]
 pub struct Membership {
     settings: MembershipSettings,
@@ -61,7 +64,7 @@
     own_tag: MemberTag,
     own_data_centre: DataCentreTag,
     counter: u64,
-    /// Highest own counter that came back from another daemon.
+    /// Highest own heartbeat counter echoed by another daemon.
     echoed: u64,
     table: Table,
     data_centres: DataCentres,
@@ -69,14 +72,14 @@
     listed: Vec<Contact>,
     wanted_tags: BTreeMap<MemberTag, HostId>,
     wanted_data_centres: BTreeMap<DataCentreTag, HostId>,
-    round: Vec<HostId>,
-    ticked_us: Option<MonoTime>,
-    bridged_us: Option<MonoTime>,
-    contacted_us: Option<MonoTime>,
-    pulled_us: Option<MonoTime>,
-    stated_us: Option<MonoTime>,
+    gossip_order: Vec<HostId>,
+    last_tick_us: Option<MonoTime>,
+    last_bridge_us: Option<MonoTime>,
+    last_contact_us: Option<MonoTime>,
+    last_pull_us: Option<MonoTime>,
+    last_summary_us: Option<MonoTime>,
     started_us: Option<MonoTime>,
-    introduced_us: Option<MonoTime>,
+    announced_us: Option<MonoTime>,
     view: MembersView,
     fingerprint: Fingerprint,
     counts: MembershipCounts,
@@ -84,8 +87,8 @@
 }
 
 impl Membership {
-    /// The membership of the daemon that `own` describes. `seeds` are tried while nobody else is known;
-    /// `seed` makes its random choices repeatable.
+    /// Creates the state machine of the daemon described by `own`. `seeds` are contacted while no other
+    /// daemon is known; `seed` makes random choices reproducible.
     pub fn new(settings: MembershipSettings, own: MemberRecord, seeds: Vec<Contact>, seed: u64) -> Self {
         let own_tag = own.tag();
         let own_data_centre = DataCentreTag::of(&own.data_centre);
@@ -102,39 +105,39 @@
             listed: Vec::new(),
             wanted_tags: BTreeMap::new(),
             wanted_data_centres: BTreeMap::new(),
-            round: Vec::new(),
-            ticked_us: None,
-            bridged_us: None,
-            contacted_us: None,
-            pulled_us: None,
-            stated_us: None,
+            gossip_order: Vec::new(),
+            last_tick_us: None,
+            last_bridge_us: None,
+            last_contact_us: None,
+            last_pull_us: None,
+            last_summary_us: None,
             started_us: None,
-            introduced_us: None,
+            announced_us: None,
             view: MembersView::default(),
             fingerprint: Fingerprint::default(),
             counts: MembershipCounts::default(),
             rng: StdRng::seed_from_u64(seed),
         };
-        membership.view = membership.look(MonoTime::default());
+        membership.view = membership.build_view(MonoTime::default());
         membership
     }
 
-    /// The view as last published.
+    /// The last published view.
     pub fn view(&self) -> &MembersView {
         &self.view
     }
 
-    /// Counts so far.
+    /// Current counter values.
     pub fn counts(&self) -> MembershipCounts {
         self.counts
     }
 
-    /// What this daemon says of itself.
+    /// Record of this daemon.
     pub fn own(&self) -> &MemberRecord {
         &self.own
     }
 
-    /// Takes an event in and adds to `actions` what is to be done.
+    /// Processes an event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now_us: MonoTime, event: MembershipEvent, actions: &mut Vec<MembershipAction>) {
         match event {
             MembershipEvent::Tick => self.tick(now_us, actions),
@@ -149,19 +152,19 @@
     fn leave(&mut self) {
         self.own.leaving = true;
         self.own_tag = self.own.tag();
-        // Everybody has to fetch the new record, so it is offered again as by a newcomer.
-        self.introduced_us = None;
+        // Announce the changed record like that of a new daemon, because every peer has to fetch it.
+        self.announced_us = None;
     }
 
     fn tick(&mut self, now_us: MonoTime, actions: &mut Vec<MembershipAction>) {
-        self.notice_pause(now_us);
+        self.detect_pause(now_us);
         self.counter += 1;
         self.started_us.get_or_insert(now_us);
-        self.introduced_us.get_or_insert(now_us);
-        self.judge(now_us, actions);
+        self.announced_us.get_or_insert(now_us);
+        self.detect_failures(now_us, actions);
         self.gossip(now_us, actions);
-        self.state_own_data_centre(now_us);
-        self.bridge(now_us, actions);
+        self.publish_summary(now_us);
+        self.gossip_across(now_us, actions);
         self.contact(now_us, actions);
         self.pull(now_us, actions);
         self.publish(now_us, actions);
--- a/crates/core/src/membership/settings.rs
+++ b/crates/core/src/membership/settings.rs
@@ -2,35 +2,36 @@
 
 use crate::units::{Micros, Millis};
 
-/// How often daemons speak and how long silence may last. The defaults are worked out in
+/// Intervals, timeouts and limits of the membership protocol. The defaults are derived in
 /// `docs/MEMBERSHIP.md`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct MembershipSettings {
-    /// Time between two ticks; each sends one gossip inside the data centre.
+    /// Interval between ticks; each sends one gossip message within the data centre.
     pub tick_ms: Millis,
-    /// Age of the newest heartbeat at which a daemon is suspected and asked directly.
+    /// Heartbeat age at which a daemon becomes suspect and is pinged.
     pub suspect_after_ms: Millis,
-    /// Age of the newest heartbeat at which a daemon is taken for dead and its work moves.
+    /// Heartbeat age at which a daemon is declared dead and its jobs are reassigned.
     pub dead_after_ms: Millis,
-    /// Time between two statements about the own data centre when nothing changes.
-    pub statement_ms: Millis,
-    /// Age of the newest statement at which a whole data centre is taken for unreachable.
+    /// Interval between membership summaries of the local data centre when nothing changes.
+    pub summary_interval_ms: Millis,
+    /// Age of the newest summary at which a whole data centre counts as unreachable.
     pub unreachable_after_ms: Millis,
-    /// Time between two messages of a bridge to another data centre.
+    /// Interval between messages of a bridge to other data centres.
     pub bridge_ms: Millis,
-    /// Daemons of each data centre that speak to other data centres.
+    /// Number of daemons per data centre that exchange messages with other data centres.
     pub bridges: usize,
-    /// Time between two attempts to reach a daemon that is listed, named as a seed or dead.
+    /// Interval between attempts to contact a seed, a listed host or a dead daemon.
     pub contact_ms: Millis,
-    /// Time after which a dead daemon is forgotten.
+    /// Time after which a dead daemon is removed.
     pub forget_after_ms: Millis,
-    /// Silence of a life after which an older life of the same host is believed again: its clock was wrong.
-    pub old_life_after_ms: Millis,
-    /// Time that a newcomer gives itself to meet others before it takes itself for the only daemon.
+    /// Silence of an incarnation after which an older one of the same host is accepted again. This recovers
+    /// from a host clock that was ahead.
+    pub old_incarnation_after_ms: Millis,
+    /// Time that a new daemon waits for peers before it acts alone.
     pub settle_ms: Millis,
-    /// Heartbeats in one message at most; the freshest go first. Bounds the bytes of a large data centre.
+    /// Maximum heartbeats per message, freshest first. Limits message size in large data centres.
     pub heartbeats_per_message: usize,
-    /// Records in one message at most.
+    /// Maximum records per message.
     pub records_per_message: usize,
 }
 
@@ -40,13 +41,13 @@
             tick_ms: Millis(400),
             suspect_after_ms: Millis(4_000),
             dead_after_ms: Millis(8_000),
-            statement_ms: Millis(5_000),
+            summary_interval_ms: Millis(5_000),
             unreachable_after_ms: Millis(30_000),
             bridge_ms: Millis(1_000),
             bridges: 3,
             contact_ms: Millis(5_000),
             forget_after_ms: Millis(3_600_000),
-            old_life_after_ms: Millis(60_000),
+            old_incarnation_after_ms: Millis(60_000),
             settle_ms: Millis(3_000),
             heartbeats_per_message: 128,
             records_per_message: 24,
@@ -55,7 +56,8 @@
 }
 
 impl MembershipSettings {
-    /// A gap between two ticks above which this daemon was paused, and silence of others proves nothing.
+    /// Tick delay above which this process counts as suspended, so that silence of the others is not evidence
+    /// of failure.
     pub(crate) fn pause_us(&self) -> Micros {
         Micros::from(Millis(self.tick_ms.0 * 4))
     }
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! The daemons of the own data centre, by their heartbeats.
+//! Daemons of the local data centre, tracked by heartbeat.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -8,117 +8,118 @@
 use crate::ids::{HostId, Incarnation};
 use crate::units::{Micros, MonoTime};
 
-/// What is known of one daemon of the own data centre.
+/// State of one daemon of the local data centre.
 #[derive(Clone, Debug)]
-pub(crate) struct Known {
+pub(crate) struct KnownMember {
     pub(crate) record: MemberRecord,
     pub(crate) tag: MemberTag,
     pub(crate) counter: u64,
-    /// When the counter last rose here.
-    pub(crate) heard_us: MonoTime,
+    /// Local time at which the counter last increased.
+    pub(crate) last_heartbeat_us: MonoTime,
     pub(crate) is_dead: bool,
 }
 
-/// What a heartbeat meant.
+/// Result of applying a heartbeat.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Heard {
-    /// It is no news.
-    Old,
-    /// It is news.
-    New,
-    /// Nobody here has that record.
+pub(crate) enum HeartbeatOutcome {
+    /// The counter did not increase, or the record was replaced.
+    Stale,
+    /// The counter increased.
+    Advanced,
+    /// No record with this tag is known.
     Unknown,
 }
 
-/// What a record meant.
+/// Result of applying a record.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Learned {
-    /// It is known, or of a life that is over.
-    Old,
-    /// It is news.
-    New,
+pub(crate) enum RecordOutcome {
+    /// The record is already known or belongs to an older incarnation.
+    Outdated,
+    /// The record was added or replaced an older one.
+    Applied,
 }
 
-/// The daemons of the own data centre but this one.
+/// All daemons of the local data centre except this one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Table {
-    by_host: BTreeMap<HostId, Known>,
+    by_host: BTreeMap<HostId, KnownMember>,
     by_tag: HashMap<MemberTag, HostId>,
-    /// Tags of replaced records. Heartbeats under them still travel for a few seconds and ask for nothing.
-    retired: HashMap<MemberTag, MonoTime>,
+    /// Tags of replaced records. Their heartbeats still circulate for a few seconds and must not cause a
+    /// pull.
+    replaced_tags: HashMap<MemberTag, MonoTime>,
 }
 
 impl Table {
-    pub(crate) fn hear(&mut self, now_us: MonoTime, heartbeat: Heartbeat) -> Heard {
-        if self.retired.contains_key(&heartbeat.tag) {
-            return Heard::Old;
+    pub(crate) fn apply_heartbeat(&mut self, now_us: MonoTime, heartbeat: Heartbeat) -> HeartbeatOutcome {
+        if self.replaced_tags.contains_key(&heartbeat.tag) {
+            return HeartbeatOutcome::Stale;
         }
         let Some(host) = self.by_tag.get(&heartbeat.tag) else {
-            return Heard::Unknown;
+            return HeartbeatOutcome::Unknown;
         };
         let Some(known) = self.by_host.get_mut(host) else {
-            return Heard::Unknown;
+            return HeartbeatOutcome::Unknown;
         };
         if heartbeat.counter <= known.counter {
-            return Heard::Old;
+            return HeartbeatOutcome::Stale;
         }
         known.counter = heartbeat.counter;
-        known.heard_us = now_us;
+        known.last_heartbeat_us = now_us;
         known.is_dead = false;
-        Heard::New
+        HeartbeatOutcome::Advanced
     }
 
-    pub(crate) fn learn(
+    pub(crate) fn update_record(
         &mut self,
         now_us: MonoTime,
         record: MemberRecord,
         settings: &MembershipSettings,
-    ) -> Learned {
+    ) -> RecordOutcome {
         if let Some(known) = self.by_host.get(&record.host) {
             if !replaces(&record, known, now_us, settings) {
-                return Learned::Old;
+                return RecordOutcome::Outdated;
             }
             self.by_tag.remove(&known.tag);
-            self.retired.insert(known.tag, now_us);
+            self.replaced_tags.insert(known.tag, now_us);
         }
         let tag = record.tag();
-        self.retired.remove(&tag);
+        self.replaced_tags.remove(&tag);
         self.by_tag.insert(tag, record.host.clone());
-        let known = Known { tag, counter: 0, heard_us: now_us, is_dead: false, record };
+        let known = KnownMember { tag, counter: 0, last_heartbeat_us: now_us, is_dead: false, record };
         self.by_host.insert(known.record.host.clone(), known);
-        Learned::New
+        RecordOutcome::Applied
     }
 
-    /// Takes the silent for dead and forgets the long dead.
+    /// Marks silent daemons as dead and removes those dead for longer than the retention time.
     pub(crate) fn expire(&mut self, now_us: MonoTime, settings: &MembershipSettings) {
         let dead_after_us = Micros::from(settings.dead_after_ms);
         let forget_after_us = Micros::from(settings.forget_after_ms);
-        let retire_after_us = Micros::from(settings.old_life_after_ms);
+        let drop_replaced_after_us = Micros::from(settings.old_incarnation_after_ms);
         for known in self.by_host.values_mut() {
-            known.is_dead = known.is_dead || now_us.since(known.heard_us) > dead_after_us;
+            known.is_dead = known.is_dead || now_us.since(known.last_heartbeat_us) > dead_after_us;
         }
-        self.by_host.retain(|_, known| now_us.since(known.heard_us) <= forget_after_us);
+        self.by_host.retain(|_, known| now_us.since(known.last_heartbeat_us) <= forget_after_us);
         let by_host = &self.by_host;
         self.by_tag.retain(|_, host| by_host.contains_key(host));
-        self.retired.retain(|_, since_us| now_us.since(*since_us) <= retire_after_us);
+        self.replaced_tags.retain(|_, since_us| now_us.since(*since_us) <= drop_replaced_after_us);
     }
 
-    /// Moves all times forward by a pause of this daemon, in which it could not hear.
-    pub(crate) fn excuse(&mut self, pause_us: Micros) {
+    /// Shifts all heartbeat times by the time in which this process was suspended.
+    pub(crate) fn shift_times(&mut self, pause_us: Micros) {
         for known in self.by_host.values_mut() {
-            known.heard_us = known.heard_us + pause_us;
+            known.last_heartbeat_us = known.last_heartbeat_us + pause_us;
         }
     }
 
-    pub(crate) fn all(&self) -> impl Iterator<Item = &Known> {
+    pub(crate) fn all(&self) -> impl Iterator<Item = &KnownMember> {
         self.by_host.values()
     }
 
-    pub(crate) fn living(&self) -> impl Iterator<Item = &Known> {
+    pub(crate) fn live(&self) -> impl Iterator<Item = &KnownMember> {
         self.by_host.values().filter(|known| !known.is_dead)
     }
 
-    pub(crate) fn find(&self, host: &HostId) -> Option<&Known> {
+    pub(crate) fn find(&self, host: &HostId) -> Option<&KnownMember> {
         self.by_host.get(host)
     }
 
@@ -131,18 +132,18 @@
         self.by_host.get(host).map(|known| known.record.peer_address)
     }
 
-    pub(crate) fn has_newer_life(&self, host: &HostId, incarnation: Incarnation) -> bool {
+    pub(crate) fn has_newer_incarnation(&self, host: &HostId, incarnation: Incarnation) -> bool {
         self.by_host.get(host).is_some_and(|known| known.record.incarnation > incarnation && !known.is_dead)
     }
 
-    /// Heartbeats worth passing on: the freshest, and none so old that they say nothing.
+    /// Heartbeats to gossip: the freshest ones, without those past the suspect threshold.
     pub(crate) fn heartbeats(&self, now_us: MonoTime, settings: &MembershipSettings) -> Vec<Heartbeat> {
         let suspect_after_us = Micros::from(settings.suspect_after_ms);
         let mut fresh: Vec<(Micros, Heartbeat)> = self
-            .living()
+            .live()
             .map(|known| {
                 let heartbeat = Heartbeat { tag: known.tag, counter: known.counter };
-                (now_us.since(known.heard_us), heartbeat)
+                (now_us.since(known.last_heartbeat_us), heartbeat)
             })
             .filter(|(age_us, _)| *age_us <= suspect_after_us)
             .collect();
@@ -152,17 +153,25 @@
     }
 }
 
-/// Whether `record` takes the place of what is known of the same host.
+/// Whether `record` replaces the known record of the same host.
 ///
-/// A host is replaced under its own name and address, and the old process may still be sending. The greater
-/// incarnation wins. A host whose clock was far ahead would then never be believed again after the clock
-/// is mended, so a smaller one is believed once the greater has been silent for long.
-fn replaces(record: &MemberRecord, known: &Known, now_us: MonoTime, settings: &MembershipSettings) -> bool {
-    let life = (record.incarnation, record.leaving);
-    let known_life = (known.record.incarnation, known.record.leaving);
-    if life >= known_life {
-        return life > known_life;
+/// A host can be replaced under its own name and address while the old process still sends. The greater
+/// incarnation wins. If the clock of the host was ahead, its later incarnations would compare smaller and be
+/// rejected forever, so a smaller one is accepted once the greater has been silent for
+/// [`MembershipSettings::old_incarnation_after_ms`].
+fn replaces(
+    record: &MemberRecord,
+    known: &KnownMember,
+    now_us: MonoTime,
+    settings: &MembershipSettings,
+) -> bool {
+    let version = (record.incarnation, record.leaving);
+    let known_version = (known.record.incarnation, known.record.leaving);
+    if version >= known_version {
+        return version > known_version;
     }
-    let quiet_us = Micros::from(settings.old_life_after_ms);
-    record.incarnation < known.record.incarnation && known.is_dead && now_us.since(known.heard_us) > quiet_us
+    let silence_us = Micros::from(settings.old_incarnation_after_ms);
+    record.incarnation < known.record.incarnation
+        && known.is_dead
+        && now_us.since(known.last_heartbeat_us) > silence_us
 }
--- a/crates/core/src/membership/view.rs
+++ b/crates/core/src/membership/view.rs
@@ -1,4 +1,4 @@
-//! Who lives, as one daemon sees it: the snapshot that everything else reads.
+//! Membership view: the snapshot that other modules read.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,55 +8,57 @@
 /// State of a member in a view.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MemberState {
-    /// Its heartbeats arrive.
+    /// Heartbeats arrive in time.
     Live,
-    /// Its heartbeats are late. It keeps its work: moving it costs more than a few seconds' wait.
+    /// Heartbeats are late. The daemon keeps its jobs: reassigning them costs more than waiting a few
+    /// seconds.
     Suspect,
-    /// It stops and takes no new work.
+    /// The daemon is shutting down and takes no new jobs.
     Leaving,
-    /// Its whole data centre is not heard of; nobody can tell whether it lives.
+    /// The data centre is not heard of, so the state of the daemon is unknown.
     Unreachable,
 }
 
-/// One daemon in a view. Dead daemons are not in it.
+/// One daemon in a view. Dead daemons are not included.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Member {
-    /// Its host.
+    /// Host of the daemon.
     pub host: HostId,
-    /// Its life.
+    /// Incarnation of the daemon.
     pub incarnation: Incarnation,
-    /// Where it takes messages of other daemons.
+    /// Address for peer messages.
     pub peer_address: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentreId,
-    /// Its region.
+    /// Region of the data centre.
     pub region: RegionId,
-    /// Whether it lives.
+    /// State as seen by the daemon that built the view.
     pub state: MemberState,
-    /// Hash of the host's name, for rendezvous hashing.
+    /// Hash of the host name, for rendezvous hashing.
     pub host_hash: u64,
 }
 
 impl Member {
-    /// Whether work may be given to it.
+    /// Whether jobs may be assigned to the daemon.
     pub fn is_eligible(&self) -> bool {
         matches!(self.state, MemberState::Live | MemberState::Suspect)
     }
 }
 
-/// Who lives, as one daemon sees it.
+/// Membership as seen by one daemon.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct MembersView {
-    /// Raised with each change.
+    /// Incremented with each change.
     pub version: u64,
-    /// The daemon that sees it so.
+    /// Host of the daemon that built the view; absent in an empty view.
     pub own_host: Option<HostId>,
-    /// Its data centre.
+    /// Data centre of that daemon; absent in an empty view.
     pub own_data_centre: Option<DataCentreId>,
-    /// Whether others of the own data centre hear this daemon. False after a pause and when only the way
-    /// out is cut: the others have then given its work to somebody else, so it must not go on with it.
+    /// Whether peers in the local data centre receive this daemon's heartbeats. It is false after the process
+    /// was suspended or while only its outgoing messages are lost. The peers have then reassigned its jobs,
+    /// so it must not continue them.
     pub is_heard: bool,
-    /// The daemons by data centre, by host in each.
+    /// Daemons by data centre, sorted by host.
     pub members: BTreeMap<DataCentreId, Vec<Member>>,
 }
 
@@ -71,7 +73,7 @@
         self.members.values().flatten()
     }
 
-    /// The daemon on `host`.
+    /// The daemon on `host`, if it is in the view.
     pub fn find(&self, host: &HostId) -> Option<&Member> {
         self.members.values().find_map(|members| {
             let index = members.binary_search_by(|member| member.host.cmp(host)).ok()?;
@@ -79,10 +81,10 @@
         })
     }
 
-    /// Whether the daemon on `host` with this life is known and not dead. A life that is in no view is gone,
-    /// or is not yet known here: whoever acts on the difference has to wait out
+    /// Whether the daemon on `host` is in the view with this incarnation. An incarnation that is not in the
+    /// view has ended or is not known yet; a caller that depends on the difference has to wait for
     /// [`MembershipSettings::dead_after_ms`](crate::membership::MembershipSettings::dead_after_ms) first.
-    pub fn has_life(&self, host: &HostId, incarnation: Incarnation) -> bool {
+    pub fn has_incarnation(&self, host: &HostId, incarnation: Incarnation) -> bool {
         self.find(host).is_some_and(|member| member.incarnation == incarnation)
     }
 }
--- a/crates/core/src/spread/event.rs
+++ b/crates/core/src/spread/event.rs
@@ -1,123 +1,124 @@
-//! What happens to the spreading of one daemon, and what it wants done.
+//! Events and actions of the dissemination state machine.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-use super::message::{ConfigRecord, LoadSummary, ModelLoad, ServerSign, SpreadMessage, StateHash};
+use super::message::{ConfigRecord, LoadSummary, ModelLoad, ServerStatus, SpreadMessage, StateHash};
 use crate::ids::{BackendServerId, DataCentreId, HostId, Offset};
 
-/// What is spread and not configuration, as one daemon knows it.
+/// Disseminated data other than configuration, as known to one daemon.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SpreadView {
-    /// Servers that some daemon saw refusing or leaving, or taking again.
-    pub signs: HashMap<BackendServerId, ServerSign>,
-    /// Load of the data centres.
+    /// Last observed status, for servers that refused work or were leaving.
+    pub statuses: HashMap<BackendServerId, ServerStatus>,
+    /// Load summaries by data centre.
     pub loads: BTreeMap<DataCentreId, LoadSummary>,
 }
 
 impl SpreadView {
-    /// Whether new work may go to `server` as far as signs tell.
-    pub fn may_take(&self, server: &BackendServerId) -> bool {
-        !matches!(self.signs.get(server), Some(ServerSign::Leaving | ServerSign::Refusing))
+    /// Whether `server` accepts new work, as far as is known.
+    pub fn accepts_work(&self, server: &BackendServerId) -> bool {
+        !matches!(self.statuses.get(server), Some(ServerStatus::Leaving | ServerStatus::Refusing))
     }
 }
 
-/// What happens to the spreading of a daemon.
+/// Input to the dissemination state machine.
 #[derive(Clone, Debug)]
 pub enum SpreadEvent {
-    /// [`SpreadSettings::tick_ms`] have passed.
+    /// [`SpreadSettings::tick_ms`] have elapsed.
     Tick,
-    /// A message of another daemon.
+    /// A message from another daemon.
     Message {
-        /// Its host.
+        /// Host of the sender.
         from: HostId,
-        /// What it says.
+        /// The message.
         message: SpreadMessage,
     },
     /// Records read from the log.
     LogRecords(Vec<ConfigRecord>),
-    /// The configuration in force.
+    /// The configuration in force changed.
     Applied {
-        /// The first offset it lacks.
+        /// First offset that is not applied.
         next_offset: Offset,
-        /// Its hash.
+        /// Hash of the state.
         state: StateHash,
     },
-    /// The encoded state, after [`SpreadAction::ProvideState`].
+    /// The encoded state, in response to [`SpreadAction::ProvideState`].
     State {
-        /// The first offset it lacks.
+        /// First offset that the state does not cover.
         next_offset: Offset,
-        /// Its encoding.
+        /// The encoded state.
         data: Arc<[u8]>,
     },
-    /// This daemon saw a server refusing, leaving, or taking work again.
-    Saw {
+    /// This daemon observed that a server refuses work, is leaving, or accepts work again.
+    Observed {
         /// The server.
         server: BackendServerId,
-        /// What it did.
-        sign: ServerSign,
+        /// Its observed status.
+        status: ServerStatus,
     },
-    /// Load of the servers that this daemon watches.
+    /// Load of the servers that this daemon monitors.
     Load(Vec<ModelLoad>),
 }
 
-/// What spreading wants done.
+/// Output of the dissemination state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SpreadAction {
     /// Send a message to a daemon.
     Send {
-        /// Its host.
+        /// Host of the receiver.
         to: HostId,
-        /// What to say.
+        /// The message.
         message: SpreadMessage,
     },
-    /// Records in the order of the log, without a gap behind those delivered before.
+    /// Records in log order, contiguous with those delivered before.
     Deliver(Vec<ConfigRecord>),
-    /// A state further on than what was delivered.
+    /// Adopt a state that is ahead of the delivered records.
     AdoptState {
-        /// The first offset it lacks.
+        /// First offset that the state does not cover.
         next_offset: Offset,
-        /// Its encoding.
+        /// The encoded state.
         data: Arc<[u8]>,
     },
-    /// Another daemon needs the encoded state: answer with [`SpreadEvent::State`].
+    /// A peer needs the encoded state; answer with [`SpreadEvent::State`].
     ProvideState,
-    /// Whether this daemon is to read the configuration stream from the log.
+    /// Whether this daemon has to read the configuration stream from the log.
     ReadLog(bool),
-    /// Signs or loads changed.
+    /// Server status or load summaries changed.
     Publish(SpreadView),
 }
 
-/// Counts of what happened, for metrics.
+/// Event counters, for metrics.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct SpreadCounts {
-    /// Records that came first from the log.
+    /// Records received first from the log.
     pub records_read: u64,
-    /// Records that came first from another daemon.
+    /// Records received first from another daemon.
     pub records_relayed: u64,
-    /// Records that came again.
-    pub records_again: u64,
-    /// Pulls sent because something was missing.
+    /// Duplicate records received.
+    pub records_duplicate: u64,
+    /// Pulls sent for missing records.
     pub pulls: u64,
     /// States adopted from other daemons.
     pub states_adopted: u64,
-    /// Digests with the same offset and another hash: two daemons folded the same records differently.
+    /// Digests with the same offset but another hash, which means that two daemons folded the same records
+    /// differently.
     pub diverged: u64,
-    /// Signs passed on.
-    pub signs: u64,
+    /// Status observations forwarded.
+    pub statuses_forwarded: u64,
 }
 
 impl SpreadCounts {
-    /// The counts by name, for metrics.
+    /// Counter values by metric label.
     pub fn by_name(&self) -> [(&'static str, u64); 7] {
         [
             ("spread-read", self.records_read),
             ("spread-relayed", self.records_relayed),
-            ("spread-again", self.records_again),
+            ("spread-again", self.records_duplicate),
             ("spread-pulled", self.pulls),
             ("spread-state-adopted", self.states_adopted),
             ("spread-diverged", self.diverged),
-            ("spread-sign", self.signs),
+            ("spread-sign", self.statuses_forwarded),
         ]
     }
 }
--- a/crates/core/src/spread/loads.rs
+++ b/crates/core/src/spread/loads.rs
@@ -1,4 +1,5 @@
-//! Load of data centres: parts summed up by one daemon of each, summaries passed on to all.
+//! Load of data centres: one daemon per data centre aggregates partial loads, and the summaries are
+//! disseminated to all.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +8,7 @@
 use crate::ids::{DataCentreId, HostId};
 use crate::units::{Micros, MonoTime};
 
-/// Loads as known here.
+/// Partial loads and summaries known to this daemon.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Loads {
     parts: BTreeMap<HostId, (MonoTime, Vec<ModelLoad>)>,
@@ -15,12 +16,12 @@
 }
 
 impl Loads {
-    pub(crate) fn take_part(&mut self, now_us: MonoTime, from: HostId, models: Vec<ModelLoad>) {
+    pub(crate) fn insert_partial(&mut self, now_us: MonoTime, from: HostId, models: Vec<ModelLoad>) {
         self.parts.insert(from, (now_us, models));
     }
 
-    /// The next summary of the own data centre.
-    pub(crate) fn sum_up(
+    /// Aggregates the unexpired partial loads into the next summary of the local data centre.
+    pub(crate) fn summarize(
         &mut self,
         now_us: MonoTime,
         data_centre: &DataCentreId,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Takes a summary in; true when it is news.
+    /// Adopts a summary. Returns whether it was newer than the known one.
     pub(crate) fn adopt(&mut self, now_us: MonoTime, summary: LoadSummary) -> bool {
         let known = self.summaries.get(&summary.data_centre);
         if known.is_some_and(|(_, known)| known.version >= summary.version) {
@@ -53,7 +54,7 @@
         true
     }
 
-    /// Forgets what says nothing any more; true when something went.
+    /// Removes expired summaries. Returns whether any was removed.
     pub(crate) fn expire(&mut self, now_us: MonoTime, settings: &SpreadSettings) -> bool {
         let before = self.summaries.len();
         let expires_us = Micros::from(settings.load_expires_ms);
--- a/crates/core/src/spread/message.rs
+++ b/crates/core/src/spread/message.rs
@@ -1,4 +1,4 @@
-//! What daemons say to each other to spread configuration, signs of servers and load.
+//! Messages that disseminate configuration, server status and load.
 
 use std::sync::Arc;
 
@@ -7,22 +7,22 @@
 use crate::ids::{BackendServerId, DataCentreId, HostId, ModelId, Offset};
 use crate::units::Millis;
 
-/// What a record of the configuration stream holds, as far as spreading is concerned.
+/// Content of a configuration record as sent between daemons.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum RecordData {
-    /// The record as it stands in the log.
-    Whole(Arc<[u8]>),
-    /// A record too large to be sent to everybody, which only a checkpoint is. Whoever holds the state before
-    /// it goes on behind it; whoever does not fetches the state.
+    /// The record as stored in the log.
+    Full(Arc<[u8]>),
+    /// The record is too large to relay, which is the case only for checkpoints. A daemon that holds the
+    /// state before it skips it; any other fetches the state.
     Elided,
 }
 
-/// One record of the configuration stream on its way through the daemons.
+/// One record of the configuration stream as sent between daemons.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct ConfigRecord {
-    /// Where it stands in the log.
+    /// Offset in the log.
     pub offset: Offset,
-    /// What it holds.
+    /// Content of the record.
     pub data: RecordData,
 }
 
@@ -30,52 +30,52 @@
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq, Deserialize, Serialize)]
 pub struct StateHash(pub [u8; 8]);
 
-/// How a backend server behaved towards a daemon.
+/// Status of a backend server as observed by a daemon.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
-pub enum ServerSign {
-    /// It takes work again.
-    Taking,
-    /// It refuses work for now.
+pub enum ServerStatus {
+    /// The server accepts work again.
+    Accepting,
+    /// The server refuses work temporarily.
     Refusing,
-    /// It is leaving.
+    /// The server is shutting down.
     Leaving,
 }
 
-/// A sign on its way through the daemons.
+/// An status observation as sent between daemons.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct SignRecord {
+pub struct StatusRecord {
     /// The server.
     pub server: BackendServerId,
-    /// What it did.
-    pub sign: ServerSign,
-    /// Raised with each new sign of the server; the greater holds.
+    /// Its observed status.
+    pub status: ServerStatus,
+    /// Incremented with each new observation of the server; the greater version wins.
     pub version: u64,
-    /// The daemon that saw it.
-    pub seen_by: HostId,
-    /// Time left until the sign is forgotten.
+    /// Host of the daemon that made the observation.
+    pub observed_by: HostId,
+    /// Time until the observation expires.
     pub left_ms: Millis,
 }
 
-/// Short name of a model: the first four bytes of its name's hash.
+/// Compact identifier of a model: the first four bytes of its name's hash.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct ModelTag(pub [u8; 4]);
 
 impl ModelTag {
-    /// The short name of `model`.
+    /// Computes the tag of `model`.
     pub fn of(model: &ModelId) -> Self {
         let [a, b, c, d, ..] = *blake3::hash(model.as_str().as_bytes()).as_bytes();
         Self([a, b, c, d])
     }
 }
 
-/// Load of the replicas of one model.
+/// Load over all replicas of one model.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct ModelLoad {
     /// The model.
     pub model: ModelTag,
-    /// Decode slots that are free.
+    /// Free decode slots.
     pub slots_free: u32,
-    /// Prompt tokens that wait for prefill.
+    /// Prompt tokens queued for prefill.
     pub prefill_queue_tokens: u32,
 }
 
@@ -84,53 +84,53 @@
 pub struct LoadSummary {
     /// The data centre.
     pub data_centre: DataCentreId,
-    /// Raised with each summary.
+    /// Incremented with each summary.
     pub version: u64,
-    /// By model.
+    /// Load of each model.
     pub models: Vec<ModelLoad>,
 }
 
-/// What daemons say to each other to spread configuration, signs of servers and load.
+/// Messages that disseminate configuration, server status and load.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub enum SpreadMessage {
-    /// What the sender has, so that both can tell who lacks something.
+    /// Summary of the sender's data, from which the receiver can tell which side lacks something.
     Digest {
         /// Offset of the first configuration record that the sender lacks.
         next_offset: Offset,
-        /// Hash of the configuration in force there.
+        /// Hash of the sender's configuration in force; zero if it is still being applied.
         state: StateHash,
-        /// Hash over the signs there.
-        signs: [u8; 4],
+        /// Hash over the sender's status observations.
+        statuses: [u8; 4],
     },
-    /// Records, to a neighbour or in answer to a pull.
+    /// Records, to a neighbour or in response to a pull.
     Records(Vec<ConfigRecord>),
-    /// Asks for records from an offset on, or for the state if they are no longer kept.
+    /// Requests records from an offset on, or the state if those records are no longer retained.
     Pull {
-        /// The first offset wanted.
+        /// First offset requested.
         from: Offset,
     },
-    /// Asks for a part of a state.
+    /// Requests one part of an encoded state.
     PullState {
-        /// The state, by the first offset it lacks; none for the present one.
+        /// The state, by the first offset it does not cover; `None` for the current one.
         next_offset: Option<Offset>,
-        /// Which part.
+        /// Index of the part, from 0.
         part: u32,
     },
     /// One part of an encoded state.
     StatePart {
-        /// The first offset that the state lacks.
+        /// First offset that the state does not cover.
         next_offset: Offset,
-        /// Which part.
+        /// Index of the part, from 0.
         part: u32,
         /// Number of parts.
         parts: u32,
-        /// The part.
+        /// Content of the part.
         data: Arc<[u8]>,
     },
-    /// Signs of servers.
-    Signs(Vec<SignRecord>),
-    /// Load of the servers that the sender watches, to the daemon that sums up.
+    /// Status observations of servers.
+    Statuses(Vec<StatusRecord>),
+    /// Load of the servers that the sender monitors, to the daemon that aggregates loads.
     PartialLoad(Vec<ModelLoad>),
-    /// Load of a whole data centre.
+    /// Load summary of a data centre.
     Load(LoadSummary),
 }
--- a/crates/core/src/spread/mod.rs
+++ b/crates/core/src/spread/mod.rs
@@ -1,21 +1,21 @@
-//! Spreading between daemons: configuration records, signs of servers, load summaries.
+//! Dissemination of configuration records, server status and load summaries between daemons.
 //!
-//! News is passed on at once: each daemon hands what it sees for the first time to a fixed few neighbours of
-//! its data centre, so that it reaches all in a logarithm of hops although each sends only that few copies.
-//! What gets lost on the way, because a relay died or a link was cut, is mended by digests: daemons tell each
-//! other how far they are, and whoever is behind is given what it lacks. Only higher offsets are adopted.
+//! Each daemon forwards new data at once to a fixed small number of neighbours in its data centre, so that it
+//! reaches all of them in a logarithmic number of hops. Data that is lost because a relay died or a link
+//! failed is recovered by digests: daemons tell each other their offset, and the one that is behind gets what
+//! it lacks. Only higher offsets are adopted.
 //!
-//! A few daemons of each data centre read the log; a data centre that cannot reach it lives on the digests
-//! that other data centres send. `docs/MEMBERSHIP.md` has the arithmetic and the ways weighed.
+//! A few daemons of each data centre read the log. A data centre that cannot reach the log relies on the
+//! digests of other data centres. `docs/MEMBERSHIP.md` has the arithmetic and the alternatives.
 
-mod changes;
+mod dissemination;
 mod event;
 mod loads;
 mod message;
-mod news;
 mod records;
+mod replication;
+mod server_status;
 mod settings;
-mod signs;
 
 use std::sync::Arc;
 
@@ -25,7 +25,7 @@
 
 use self::loads::Loads;
 use self::records::Records;
-use self::signs::Signs;
+use self::server_status::ServerStatuses;
 use crate::ids::{DataCentreId, HostId, Offset};
 use crate::membership::{Member, MembersView};
 use crate::units::{Micros, Millis, MonoTime};
@@ -33,24 +33,24 @@
 
 pub use self::event::{SpreadAction, SpreadCounts, SpreadEvent, SpreadView};
 pub use self::message::{
-    ConfigRecord, LoadSummary, ModelLoad, ModelTag, RecordData, ServerSign, SignRecord, SpreadMessage,
-    StateHash,
+    ConfigRecord, LoadSummary, ModelLoad, ModelTag, RecordData, ServerStatus, SpreadMessage, StateHash,
+    StatusRecord,
 };
 pub use self::settings::SpreadSettings;
 
-/// The job, in each data centre, of reading the configuration stream from the log.
+/// Name of the job, in each data centre, of reading the configuration stream from the log.
 pub const LOG_READER_JOB: &str = "log-reader";
 
-/// A state on its way to this daemon, part by part.
+/// An encoded state that is being fetched from a peer, part by part.
 #[derive(Clone, Debug)]
 struct Fetch {
     from: HostId,
     next_offset: Option<Offset>,
     parts: Vec<Arc<[u8]>>,
-    asked_us: MonoTime,
+    requested_us: MonoTime,
 }
 
-/// The spreading of one daemon.
+/// Dissemination state machine of one daemon.
 #[derive(Debug)]
 pub struct Spread {
     settings: SpreadSettings,
@@ -59,17 +59,17 @@
     records: Records,
     state: StateHash,
     state_offset: Offset,
-    provided: Option<(Offset, Arc<[u8]>)>,
-    state_asked: Vec<HostId>,
+    provided_state: Option<(Offset, Arc<[u8]>)>,
+    state_requesters: Vec<HostId>,
     fetch: Option<Fetch>,
-    pulled_us: Option<MonoTime>,
-    signs: Signs,
+    last_pull_us: Option<MonoTime>,
+    statuses: ServerStatuses,
     loads: Loads,
     own_load: Vec<ModelLoad>,
-    round: Vec<HostId>,
-    bridged_us: Option<MonoTime>,
-    partial_us: Option<MonoTime>,
-    summed_us: Option<MonoTime>,
+    digest_order: Vec<HostId>,
+    last_bridge_us: Option<MonoTime>,
+    last_partial_us: Option<MonoTime>,
+    last_summary_us: Option<MonoTime>,
     is_reader: bool,
     is_changed: bool,
     counts: SpreadCounts,
@@ -77,7 +77,7 @@
 }
 
 impl Spread {
-    /// The spreading of the daemon on `host`; `seed` makes its random choices repeatable.
+    /// Creates the state machine of the daemon on `host`; `seed` makes random choices reproducible.
     pub fn new(settings: SpreadSettings, host: HostId, data_centre: DataCentreId, seed: u64) -> Self {
         Self {
             settings,
@@ -86,17 +86,17 @@
             records: Records::default(),
             state: StateHash::default(),
             state_offset: Offset::default(),
-            provided: None,
-            state_asked: Vec::new(),
+            provided_state: None,
+            state_requesters: Vec::new(),
             fetch: None,
-            pulled_us: None,
-            signs: Signs::default(),
+            last_pull_us: None,
+            statuses: ServerStatuses::default(),
             loads: Loads::default(),
             own_load: Vec::new(),
-            round: Vec::new(),
-            bridged_us: None,
-            partial_us: None,
-            summed_us: None,
+            digest_order: Vec::new(),
+            last_bridge_us: None,
+            last_partial_us: None,
+            last_summary_us: None,
             is_reader: false,
             is_changed: false,
             counts: SpreadCounts::default(),
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Counts so far.
+    /// Current counter values.
     pub fn counts(&self) -> SpreadCounts {
         self.counts
     }
@@ -119,12 +119,12 @@
         self.is_reader
     }
 
-    /// What is spread and not configuration.
+    /// Disseminated data other than configuration.
     pub fn view(&self) -> SpreadView {
-        SpreadView { signs: self.signs.current(), loads: self.loads.current() }
+        SpreadView { statuses: self.statuses.current(), loads: self.loads.current() }
     }
 
-    /// Takes an event in and adds to `actions` what is to be done.
+    /// Processes an event and appends the resulting actions to `actions`.
     pub fn handle(
         &mut self,
         now_us: MonoTime,
@@ -136,26 +136,26 @@
             SpreadEvent::Tick => self.tick(now_us, view, actions),
             SpreadEvent::Message { from, message } => self.receive(now_us, view, from, message, actions),
             SpreadEvent::LogRecords(records) => {
-                let new = self.take_records(records, view, actions);
+                let new = self.ingest_records(records, view, actions);
                 self.counts.records_read += new;
             }
             SpreadEvent::Applied { next_offset, state } => self.applied(next_offset, state),
-            SpreadEvent::State { next_offset, data } => self.provide(next_offset, data, actions),
-            SpreadEvent::Saw { server, sign } => self.saw(now_us, view, server, sign, actions),
+            SpreadEvent::State { next_offset, data } => self.provide_state(next_offset, data, actions),
+            SpreadEvent::Observed { server, status } => self.observe(now_us, view, server, status, actions),
             SpreadEvent::Load(models) => self.own_load = models,
         }
     }
 
     fn tick(&mut self, now_us: MonoTime, view: &MembersView, actions: &mut Vec<SpreadAction>) {
-        self.choose_reader(view, actions);
-        self.tell_neighbour(view, actions);
-        self.bridge(now_us, view, actions);
-        self.tell_load(now_us, view, actions);
-        self.sum_up(now_us, view, actions);
+        self.update_reader_role(view, actions);
+        self.send_digest(view, actions);
+        self.send_digest_across(now_us, view, actions);
+        self.send_partial_load(now_us, view, actions);
+        self.publish_load_summary(now_us, view, actions);
         self.expire_fetch(now_us);
-        let signs_went = self.signs.expire(now_us);
-        let loads_went = self.loads.expire(now_us, &self.settings);
-        if self.is_changed || signs_went || loads_went {
+        let statuses_expired = self.statuses.expire(now_us);
+        let loads_expired = self.loads.expire(now_us, &self.settings);
+        if self.is_changed || statuses_expired || loads_expired {
             self.is_changed = false;
             actions.push(SpreadAction::Publish(self.view()));
         }
@@ -169,7 +169,7 @@
         self.ranks(job, count, view).iter().position(|host| *host == self.host)
     }
 
-    fn choose_reader(&mut self, view: &MembersView, actions: &mut Vec<SpreadAction>) {
+    fn update_reader_role(&mut self, view: &MembersView, actions: &mut Vec<SpreadAction>) {
         let is_reader = self.rank(LOG_READER_JOB, self.settings.readers, view).is_some();
         if is_reader != self.is_reader {
             self.is_reader = is_reader;
@@ -182,37 +182,37 @@
         SpreadMessage::Digest {
             next_offset: self.records.next(),
             state: if is_settled { self.state } else { StateHash::default() },
-            signs: self.signs.hash(),
+            statuses: self.statuses.hash(),
         }
     }
 
-    fn neighbours_here<'view>(&self, view: &'view MembersView) -> impl Iterator<Item = &'view Member> {
+    fn local_neighbours<'view>(&self, view: &'view MembersView) -> impl Iterator<Item = &'view Member> {
         let own = self.host.clone();
         view.in_data_centre(&self.data_centre).iter().filter(move |member| member.host != own)
     }
 
-    fn tell_neighbour(&mut self, view: &MembersView, actions: &mut Vec<SpreadAction>) {
-        if self.round.is_empty() {
-            self.round = self.neighbours_here(view).map(|member| member.host.clone()).collect();
-            self.round.shuffle(&mut self.rng);
+    fn send_digest(&mut self, view: &MembersView, actions: &mut Vec<SpreadAction>) {
+        if self.digest_order.is_empty() {
+            self.digest_order = self.local_neighbours(view).map(|member| member.host.clone()).collect();
+            self.digest_order.shuffle(&mut self.rng);
         }
-        if let Some(to) = self.round.pop() {
+        if let Some(to) = self.digest_order.pop() {
             let message = self.digest();
             actions.push(SpreadAction::Send { to, message });
         }
     }
 
-    fn bridge(&mut self, now_us: MonoTime, view: &MembersView, actions: &mut Vec<SpreadAction>) {
+    fn send_digest_across(&mut self, now_us: MonoTime, view: &MembersView, actions: &mut Vec<SpreadAction>) {
         let is_bridge = self.rank("bridge", self.settings.bridges, view).is_some();
-        if !is_bridge || !is_due(self.bridged_us, now_us, self.settings.bridge_ms) {
+        if !is_bridge || !is_due(self.last_bridge_us, now_us, self.settings.bridge_ms) {
             return;
         }
-        self.bridged_us = Some(now_us);
+        self.last_bridge_us = Some(now_us);
         let others: Vec<&DataCentreId> = self.other_data_centres(view).collect();
         let Some(data_centre) = others.choose(&mut self.rng) else {
             return;
         };
-        if let Some(to) = pick(view, data_centre, &mut self.rng) {
+        if let Some(to) = pick_member(view, data_centre, &mut self.rng) {
             let message = self.digest();
             actions.push(SpreadAction::Send { to, message });
         }
@@ -235,33 +235,33 @@
         actions: &mut Vec<SpreadAction>,
     ) {
         match message {
-            SpreadMessage::Digest { next_offset, state, signs } => {
-                self.compare(now_us, from, next_offset, state, signs, actions);
+            SpreadMessage::Digest { next_offset, state, statuses } => {
+                self.compare_digest(now_us, from, next_offset, state, statuses, actions);
             }
-            SpreadMessage::Records(records) => self.take_relayed(now_us, view, from, records, actions),
+            SpreadMessage::Records(records) => self.receive_records(now_us, view, from, records, actions),
             SpreadMessage::Pull { from: offset } => self.answer_pull(from, offset, actions),
             SpreadMessage::PullState { next_offset, part } => {
                 self.answer_state(from, next_offset, part, actions);
             }
             SpreadMessage::StatePart { next_offset, part, parts, data } => {
-                self.take_part(now_us, &from, next_offset, part, parts, data, actions);
+                self.receive_state_part(now_us, &from, next_offset, part, parts, data, actions);
             }
-            SpreadMessage::Signs(signs) => self.take_signs(now_us, view, signs, actions),
-            SpreadMessage::PartialLoad(models) => self.loads.take_part(now_us, from, models),
-            SpreadMessage::Load(summary) => self.take_load(now_us, view, summary, actions),
+            SpreadMessage::Statuses(statuses) => self.receive_statuses(now_us, view, statuses, actions),
+            SpreadMessage::PartialLoad(models) => self.loads.insert_partial(now_us, from, models),
+            SpreadMessage::Load(summary) => self.receive_load(now_us, view, summary, actions),
         }
     }
 
-    /// Hands news to the neighbours of this daemon in its data centre.
-    fn pass_on(&self, view: &MembersView, message: &SpreadMessage, actions: &mut Vec<SpreadAction>) {
+    /// Forwards new data to this daemon's neighbours in its data centre.
+    fn forward(&self, view: &MembersView, message: &SpreadMessage, actions: &mut Vec<SpreadAction>) {
         for to in self.successors(view) {
             actions.push(SpreadAction::Send { to, message: message.clone() });
         }
     }
 
-    /// Neighbours in the graph of Imase and Itoh over the sorted hosts: daemon `i` of `n` hands on to
-    /// `-(d*i) - j mod n` for `j` in `1..=d`. Any daemon is reached in at most `ceil(log_d n)` hops, each is
-    /// handed each news `d` times, and one dead relay cuts nobody off.
+    /// Neighbours in the Imase-Itoh graph over the sorted hosts: daemon `i` of `n` forwards to `-(d*i) - j
+    /// mod n` for `j` in `1..=d`. Every daemon is reached in at most `ceil(log_d n)` hops and receives each
+    /// message `d` times, so that one dead relay isolates nobody.
     fn successors(&self, view: &MembersView) -> Vec<HostId> {
         let members = view.in_data_centre(&self.data_centre);
         let count = members.len();
@@ -287,8 +287,8 @@
     last_us.is_none_or(|last_us| now_us.since(last_us) >= Micros::from(every_ms))
 }
 
-/// A random daemon of a data centre, one that lives if there is one.
-fn pick(view: &MembersView, data_centre: &DataCentreId, rng: &mut StdRng) -> Option<HostId> {
+/// Picks a random daemon of a data centre, preferring eligible ones.
+fn pick_member(view: &MembersView, data_centre: &DataCentreId, rng: &mut StdRng) -> Option<HostId> {
     let members = view.in_data_centre(data_centre);
     let live = members.iter().filter(|member| member.is_eligible()).choose(rng);
     live.or_else(|| members.choose(rng)).map(|member| member.host.clone())
--- a/crates/core/src/spread/changes.rs
+++ b/crates/core/src/spread/replication.rs
@@ -1,4 +1,5 @@
-//! Configuration on its way: records relayed in order, gaps pulled, whole states fetched in parts.
+//! Replication of the configuration stream: relays records in order, pulls missing ones and transfers full
+//! states in parts.
 
 use std::sync::Arc;
 
@@ -8,31 +9,32 @@
 use crate::units::{Micros, Millis, MonoTime};
 
 impl Spread {
-    /// Compares what another daemon has with what is here. Whoever is ahead gives; whoever is behind asks. Over a
-    /// link that works in one direction only the request is lost, and a third daemon has to mend.
-    pub(super) fn compare(
+    /// Compares a peer's digest with the local state. The side that is ahead sends records and the side that
+    /// is behind pulls them. Over a link that works in one direction only the pull is lost, and a third
+    /// daemon has to supply the records.
+    pub(super) fn compare_digest(
         &mut self,
         now_us: MonoTime,
         from: HostId,
         next_offset: Offset,
         state: StateHash,
-        signs: [u8; 4],
+        statuses: [u8; 4],
         actions: &mut Vec<SpreadAction>,
     ) {
         let next = self.records.next();
         if next_offset > next {
             self.pull(now_us, from.clone(), actions);
         } else if next_offset < next {
-            self.give(from.clone(), next_offset, actions);
-        } else if self.is_other_state(state) {
+            self.send_records(from.clone(), next_offset, actions);
+        } else if self.has_diverged(state) {
             self.counts.diverged += 1;
         }
-        if signs != self.signs.hash() {
-            self.give_signs(now_us, from, actions);
+        if statuses != self.statuses.hash() {
+            self.send_statuses(now_us, from, actions);
         }
     }
 
-    pub(super) fn is_other_state(&self, state: StateHash) -> bool {
+    pub(super) fn has_diverged(&self, state: StateHash) -> bool {
         self.state_offset == self.records.next()
             && state != StateHash::default()
             && self.state != StateHash::default()
@@ -40,10 +42,10 @@
     }
 
     pub(super) fn pull(&mut self, now_us: MonoTime, from: HostId, actions: &mut Vec<SpreadAction>) {
-        if self.fetch.is_some() || !is_due(self.pulled_us, now_us, self.settings.retry_ms) {
+        if self.fetch.is_some() || !is_due(self.last_pull_us, now_us, self.settings.retry_ms) {
             return;
         }
-        self.pulled_us = Some(now_us);
+        self.last_pull_us = Some(now_us);
         self.counts.pulls += 1;
         actions.push(SpreadAction::Send {
             to: from,
@@ -51,9 +53,10 @@
         });
     }
 
-    /// Gives records to a daemon that is behind, or tells it to fetch the state when they are gone.
-    pub(super) fn give(&self, to: HostId, from: Offset, actions: &mut Vec<SpreadAction>) {
-        let message = match self.records.from(from, self.settings.part_bytes) {
+    /// Sends records to a daemon that is behind, or a digest that makes it pull the state if the records are
+    /// no longer retained.
+    pub(super) fn send_records(&self, to: HostId, from: Offset, actions: &mut Vec<SpreadAction>) {
+        let message = match self.records.range_from(from, self.settings.part_bytes) {
             Some(records) => SpreadMessage::Records(records),
             None => self.digest(),
         };
@@ -64,7 +67,7 @@
         if from >= self.records.next() {
             return;
         }
-        if let Some(records) = self.records.from(from, self.settings.part_bytes) {
+        if let Some(records) = self.records.range_from(from, self.settings.part_bytes) {
             let message = SpreadMessage::Records(records);
             actions.push(SpreadAction::Send { to, message });
             return;
@@ -80,7 +83,7 @@
         actions: &mut Vec<SpreadAction>,
     ) {
         let present = self.records.next();
-        let usable = self.provided.as_ref().filter(|(provided, _)| match next_offset {
+        let usable = self.provided_state.as_ref().filter(|(provided, _)| match next_offset {
             Some(wanted) => *provided == wanted,
             None => *provided == present,
         });
@@ -90,25 +93,30 @@
             }
             return;
         }
-        if self.state_asked.is_empty() {
+        if self.state_requesters.is_empty() {
             actions.push(SpreadAction::ProvideState);
         }
-        if !self.state_asked.contains(&to) {
-            self.state_asked.push(to);
+        if !self.state_requesters.contains(&to) {
+            self.state_requesters.push(to);
         }
     }
 
-    pub(super) fn provide(&mut self, next_offset: Offset, data: Arc<[u8]>, actions: &mut Vec<SpreadAction>) {
-        for to in std::mem::take(&mut self.state_asked) {
+    pub(super) fn provide_state(
+        &mut self,
+        next_offset: Offset,
+        data: Arc<[u8]>,
+        actions: &mut Vec<SpreadAction>,
+    ) {
+        for to in std::mem::take(&mut self.state_requesters) {
             if let Some(message) = state_part(next_offset, &data, 0, self.settings.part_bytes) {
                 actions.push(SpreadAction::Send { to, message });
             }
         }
-        self.provided = Some((next_offset, data));
+        self.provided_state = Some((next_offset, data));
     }
 
     #[expect(clippy::too_many_arguments, reason = "the fields of one message")]
-    pub(super) fn take_part(
+    pub(super) fn receive_state_part(
         &mut self,
         now_us: MonoTime,
         from: &HostId,
@@ -127,7 +135,7 @@
                 from: from.clone(),
                 next_offset: Some(next_offset),
                 parts: Vec::new(),
-                asked_us: now_us,
+                requested_us: now_us,
             });
         }
         let Some(fetch) = &mut self.fetch else { return };
@@ -138,7 +146,7 @@
             return;
         }
         fetch.parts.push(data);
-        fetch.asked_us = now_us;
+        fetch.requested_us = now_us;
         if fetch.parts.len() < parts as usize {
             actions.push(SpreadAction::Send {
                 to: from.clone(),
@@ -156,7 +164,7 @@
 
     pub(super) fn expire_fetch(&mut self, now_us: MonoTime) {
         let wait_us = Micros::from(Millis(self.settings.retry_ms.0 * 2));
-        if self.fetch.as_ref().is_some_and(|fetch| now_us.since(fetch.asked_us) > wait_us) {
+        if self.fetch.as_ref().is_some_and(|fetch| now_us.since(fetch.requested_us) > wait_us) {
             self.fetch = None;
         }
     }
@@ -170,7 +178,7 @@
         self.records.advance(next_offset);
     }
 
-    pub(super) fn take_relayed(
+    pub(super) fn receive_records(
         &mut self,
         now_us: MonoTime,
         view: &MembersView,
@@ -178,19 +186,20 @@
         records: Vec<ConfigRecord>,
         actions: &mut Vec<SpreadAction>,
     ) {
-        let new = self.take_records(records, view, actions);
+        let new = self.ingest_records(records, view, actions);
         self.counts.records_relayed += new;
         if new > 0 {
-            // The pull was answered, the next one need not wait.
-            self.pulled_us = None;
+            // The pull was answered, so the next one need not wait for the retry interval.
+            self.last_pull_us = None;
         }
         if self.records.has_gap() {
             self.pull(now_us, from, actions);
         }
     }
 
-    /// Takes records in, passes the new ones on, and delivers what has no gap. Returns how many were new.
-    pub(super) fn take_records(
+    /// Buffers records, forwards the new ones and delivers those without a gap. Returns the number of new
+    /// records.
+    pub(super) fn ingest_records(
         &mut self,
         records: Vec<ConfigRecord>,
         view: &MembersView,
@@ -199,14 +208,14 @@
         let total = records.len();
         let new: Vec<ConfigRecord> =
             records.into_iter().filter(|record| self.records.is_new(record.offset)).collect();
-        self.counts.records_again += (total - new.len()) as u64;
+        self.counts.records_duplicate += (total - new.len()) as u64;
         if new.is_empty() {
             return 0;
         }
         let count = new.len() as u64;
-        let passed: Vec<ConfigRecord> = new.iter().map(|record| self.elide(record)).collect();
-        for batch in batches(passed, self.settings.part_bytes) {
-            self.pass_on(view, &SpreadMessage::Records(batch), actions);
+        let forwarded: Vec<ConfigRecord> = new.iter().map(|record| self.elide(record)).collect();
+        for batch in batches(forwarded, self.settings.part_bytes) {
+            self.forward(view, &SpreadMessage::Records(batch), actions);
         }
         for record in new {
             self.records.insert(record);
@@ -216,7 +225,7 @@
     }
 
     pub(super) fn deliver(&mut self, actions: &mut Vec<SpreadAction>) {
-        let delivered = self.records.deliver(self.settings.kept_bytes);
+        let delivered = self.records.deliver(self.settings.retained_bytes);
         if !delivered.is_empty() {
             actions.push(SpreadAction::Deliver(delivered));
         }
@@ -224,7 +233,7 @@
 
     pub(super) fn elide(&self, record: &ConfigRecord) -> ConfigRecord {
         match &record.data {
-            RecordData::Whole(data) if data.len() > self.settings.elided_above_bytes => {
+            RecordData::Full(data) if data.len() > self.settings.elided_above_bytes => {
                 ConfigRecord { offset: record.offset, data: RecordData::Elided }
             }
             _ => record.clone(),
@@ -247,15 +256,15 @@
     let mut batches = vec![Vec::new()];
     let mut bytes = 0;
     for record in records {
-        let size = match &record.data {
-            RecordData::Whole(data) => data.len(),
+        let record_bytes = match &record.data {
+            RecordData::Full(data) => data.len(),
             RecordData::Elided => 0,
         };
-        if bytes > 0 && bytes + size > limit_bytes {
+        if bytes > 0 && bytes + record_bytes > limit_bytes {
             batches.push(Vec::new());
             bytes = 0;
         }
-        bytes += size;
+        bytes += record_bytes;
         if let Some(batch) = batches.last_mut() {
             batch.push(record);
         }
--- a/crates/core/src/spread/settings.rs
+++ b/crates/core/src/spread/settings.rs
@@ -1,39 +1,39 @@
-//! Settings of spreading.
+//! Settings of dissemination.
 
 use crate::units::Millis;
 
-/// How configuration, signs and load travel. The defaults are worked out in `docs/MEMBERSHIP.md`.
+/// Intervals, timeouts and limits of dissemination. The defaults are derived in `docs/MEMBERSHIP.md`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SpreadSettings {
-    /// Time between two ticks; each sends one digest inside the data centre.
+    /// Interval between ticks; each sends one digest within the data centre.
     pub tick_ms: Millis,
-    /// Neighbours to which news is passed on at once.
+    /// Number of neighbours to which new data is forwarded at once.
     pub fanout: usize,
-    /// Daemons of each data centre that read the configuration stream from the log.
+    /// Number of daemons per data centre that read the configuration stream from the log.
     pub readers: usize,
-    /// Daemons of each data centre that speak to other data centres.
+    /// Number of daemons per data centre that exchange messages with other data centres.
     pub bridges: usize,
-    /// Time between two digests of a bridge to another data centre.
+    /// Interval between digests of a bridge to other data centres.
     pub bridge_ms: Millis,
-    /// Bytes of records kept for those who lack them.
-    pub kept_bytes: usize,
-    /// Record size above which the record is not passed on.
+    /// Maximum bytes of delivered records retained for peers that lack them.
+    pub retained_bytes: usize,
+    /// Record size in bytes above which the content is not relayed.
     pub elided_above_bytes: usize,
-    /// Bytes of one answer or one part of a state.
+    /// Maximum bytes of one response or one part of a state.
     pub part_bytes: usize,
-    /// Time without an answer after which somebody else is asked.
+    /// Time without a response after which another daemon is asked.
     pub retry_ms: Millis,
-    /// Time after which a sign is forgotten unless it is seen again.
-    pub sign_ms: Millis,
-    /// Signs kept at most.
-    pub signs: usize,
-    /// Signs in one message at most.
-    pub signs_per_message: usize,
-    /// Time between two partial loads of a daemon.
+    /// Time after which an status observation expires unless it is renewed.
+    pub status_ttl_ms: Millis,
+    /// Maximum number of status observations kept.
+    pub max_statuses: usize,
+    /// Maximum number of status observations per message.
+    pub statuses_per_message: usize,
+    /// Interval between partial loads of a daemon.
     pub partial_load_ms: Millis,
-    /// Time between two load summaries of a data centre.
+    /// Interval between load summaries of a data centre.
     pub load_ms: Millis,
-    /// Age at which a load says nothing any more.
+    /// Age at which a load summary or partial load expires.
     pub load_expires_ms: Millis,
 }
 
@@ -45,13 +45,13 @@
             readers: 3,
             bridges: 3,
             bridge_ms: Millis(1_000),
-            kept_bytes: 256 << 10,
+            retained_bytes: 256 << 10,
             elided_above_bytes: 8 << 10,
             part_bytes: 4 << 10,
             retry_ms: Millis(1_000),
-            sign_ms: Millis(120_000),
-            signs: 4_096,
-            signs_per_message: 16,
+            status_ttl_ms: Millis(120_000),
+            max_statuses: 4_096,
+            statuses_per_message: 16,
             partial_load_ms: Millis(7_500),
             load_ms: Millis(15_000),
             load_expires_ms: Millis(50_000),
--- a/crates/core/src/units.rs
+++ b/crates/core/src/units.rs
@@ -1,4 +1,4 @@
-//! Sizes, rates and times. A number without its unit in the type does not cross a function boundary.
+//! Quantities with units. Functions take and return these types instead of plain numbers.
 
 use std::fmt;
 use std::ops::{Add, AddAssign, Sub, SubAssign};
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A quantity that could not be read.
+/// The text is not a whole number of the unit.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("{text:?} is not a whole number of {unit}")]
 pub struct ParseQuantityError {
@@ -25,10 +25,10 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// Nothing of it.
+            /// Zero.
             pub const ZERO: Self = Self(0);
 
-            /// Difference, or zero where `other` is larger.
+            /// Difference, or zero if `other` is larger.
             #[must_use]
             pub fn saturating_sub(self, other: Self) -> Self {
                 Self(self.0.saturating_sub(other.0))
@@ -100,24 +100,24 @@
     TokensPerSecond, "tokens/s"
 );
 quantity!(
-    /// What limits are paid in: thousandths of a further try, of a request or of a token.
+    /// Currency of rate limits and budgets: thousandths of a retry, a request or a token.
     Credit, "thousandths"
 );
 quantity!(
-    /// A rate of credit.
+    /// Refill rate of credit.
     CreditPerSecond, "thousandths/s"
 );
 quantity!(
-    /// A span of time in milliseconds, as settings and targets state it.
+    /// A duration in milliseconds, the unit of settings and targets.
     Millis, "ms"
 );
 quantity!(
-    /// A span of time in microseconds, as decisions reckon it.
+    /// A duration in microseconds, the unit of internal calculations.
     Micros, "us"
 );
 
-/// A point in time: microseconds on a clock that never goes back, of one process. It must not be compared
-/// with a point of another process, so it never travels in a message.
+/// Time in microseconds on this process's monotonic clock. It is not comparable between processes and is
+/// therefore never sent in a message.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct MonoTime(pub u64);
 
@@ -142,14 +142,14 @@
 }
 
 impl Micros {
-    /// Whole milliseconds in the span, rounded up: a wait told to a caller is never too short.
+    /// Duration in whole milliseconds, rounded up, so that a wait reported to a caller is never too short.
     pub fn to_millis_ceil(self) -> Millis {
         Millis(self.0.div_ceil(MICROS_PER_MILLI))
     }
 }
 
 impl MonoTime {
-    /// Time from `earlier` to this point, or zero where `earlier` is later.
+    /// Time elapsed since `earlier`, or zero if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Self) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
--- a/crates/core/tests/config/model.rs
+++ b/crates/core/tests/config/model.rs
@@ -1,5 +1,5 @@
-//! Replays the traces of `spec/config.pml` through the real fold. `spec/check` makes sure that the traces are what
-//! the model gives.
+//! Replays the traces of `spec/config.pml` through the real fold. `spec/check` verifies that the traces match
+//! the model.
 
 use hibiscusvale_core::config::{ConfigFold, PartnerConfig, Record};
 use hibiscusvale_core::ids::Offset;
@@ -8,24 +8,23 @@
 
 const TRACES: &str = include_str!("../../../../spec/traces/config.txt");
 
-/// The version in force, as the model counts it: the offset of the accepted change plus one, or none.
+/// The version in force as the model numbers it: the offset of the accepted change plus one, or 0 for none.
 fn version(fold: &ConfigFold) -> u64 {
     let partner = fold.state().partner(&nadifa().id);
     partner.and_then(PartnerConfig::version).map_or(0, |offset| offset.0 + 1)
 }
 
-/// A fold over all records that were ever appended before `position`.
-fn whole(log: &[Vec<u8>], position: u64) -> ConfigFold {
+/// A fold of all records ever appended before `position`.
+fn full_fold(log: &[Vec<u8>], position: u64) -> ConfigFold {
     let mut fold = daemon();
     for (offset, record) in (0..position).zip(log) {
-        fold.take(Offset(offset), record);
+        fold.ingest(Offset(offset), record);
     }
     fold
 }
 
-/// Operators publish from versions that are no longer in force, daemons are replaced, records expire, checkpoints
-/// stand for them, and states are relayed late. At each move the real fold has the version in force that the
-/// model has.
+/// Replays stale publishes, daemon replacements, record expiry, checkpoints and late states. After each step
+/// the fold must have the same version in force as the model.
 #[test]
 fn code_and_model_agree_on_versions() {
     let mut log: Vec<Vec<u8>> = Vec::new();
@@ -46,19 +45,19 @@
                 log.push(nadifa().publish(id.into(), made_from, "bookings", id));
             }
             "checkpoint" => {
-                let sealed = whole(&log, number(1)).seal();
+                let sealed = full_fold(&log, number(1)).seal();
                 log.push(Record::Checkpoint(sealed).encode());
             }
             "fold" => {
                 let offset = number(2) - 1;
-                daemons[at(number(1))].take(Offset(offset), &log[at(offset)]);
+                daemons[at(number(1))].ingest(Offset(offset), &log[at(offset)]);
             }
             "load" => {
                 let offset = number(2);
-                daemons[at(number(1))].take(Offset(offset), &log[at(offset)]);
+                daemons[at(number(1))].ingest(Offset(offset), &log[at(offset)]);
             }
             "adopt" => {
-                let sealed = whole(&log, number(2)).seal();
+                let sealed = full_fold(&log, number(2)).seal();
                 daemons[at(number(1))].adopt(&sealed).expect("sealed by a daemon");
             }
             "crash" => daemons[at(number(1))] = daemon(),
--- a/crates/core/tests/config/schedules.rs
+++ b/crates/core/tests/config/schedules.rs
@@ -1,4 +1,4 @@
-//! Random schedules: publishing, forging, expiry, outages, replaced hosts, relays, in any order.
+//! Randomized schedules of publishing, forging, expiry, outages, host replacement and relaying.
 
 use std::collections::HashMap;
 
@@ -8,22 +8,23 @@
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 
-use crate::support::{FakeLog, Publisher, checkpoint_key, daemon, keys, nadifa, registry};
+use crate::support::{InMemoryLog, Publisher, checkpoint_key, daemon, keys, nadifa, registry};
 
 const HOSTS: usize = 4;
 const STEPS: usize = 60;
 
-/// Schedules run in CI. `HIBISCUSVALE_SEEDS=100000 cargo test --release -p hibiscusvale-core --test config` runs more.
+/// Number of schedules run in CI. `HIBISCUSVALE_SEEDS=100000 cargo test --release -p hibiscusvale-core --test
+/// config` runs more.
 const DEFAULT_SEEDS: u64 = 400;
 
 fn seeds() -> u64 {
     std::env::var("HIBISCUSVALE_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_SEEDS)
 }
 
-/// A log, the hosts, and a host outside that read every record as it was appended.
-struct World {
+/// A log, the hosts, and a reference fold that reads every record when it is appended.
+struct Simulation {
     rng: StdRng,
-    log: FakeLog,
+    log: InMemoryLog,
     log_is_up: bool,
     hosts: Vec<ConfigFold>,
     reference: ConfigFold,
@@ -31,11 +32,11 @@
     change_ids: u128,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         Self {
             rng: StdRng::seed_from_u64(seed),
-            log: FakeLog::default(),
+            log: InMemoryLog::default(),
             log_is_up: true,
             hosts: (0..HOSTS).map(|_| daemon()).collect(),
             reference: daemon(),
@@ -46,7 +47,7 @@
 
     fn append(&mut self, record: &[u8]) {
         let offset = Offset(self.log.append(record.to_owned()));
-        self.reference.take(offset, record);
+        self.reference.ingest(offset, record);
         assert_eq!(self.reference.state().next_offset(), offset.next());
         self.digests.insert(offset.next(), self.reference.state().digest());
     }
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Records expire. The duty to write checkpoints keeps one in the log that stands for what expires.
+    /// Expires records. As daemons do, it first appends a checkpoint that covers what expires.
     fn expire(&mut self) {
         let record = Record::Checkpoint(self.reference.seal()).encode();
         self.append(&record);
@@ -88,7 +89,7 @@
         self.log.expire_to(to);
     }
 
-    /// A host is replaced and knows nothing; it asks a peer, or has only the log.
+    /// Replaces a host by an empty one that asks a peer or has only the log.
     fn replace(&mut self) {
         let host = self.rng.random_range(0..HOSTS);
         let peer = self.rng.random_range(0..HOSTS);
@@ -108,7 +109,7 @@
         }
     }
 
-    /// A relayed record arrives, any of those that the log still holds.
+    /// Relays any record that the log still holds.
     fn relay(&mut self) {
         let host = self.rng.random_range(0..HOSTS);
         if self.log.start < self.log.next() {
@@ -116,9 +117,9 @@
             let bytes = self.log.get(offset).expect("kept").to_vec();
             let is_checkpoint = matches!(Record::decode(&bytes), Ok(Record::Checkpoint(_)));
             if is_checkpoint && self.rng.random_bool(0.5) {
-                self.hosts[host].take_elided(offset);
+                self.hosts[host].ingest_elided(offset);
             } else {
-                self.hosts[host].take(offset, &bytes);
+                self.hosts[host].ingest(offset, &bytes);
             }
         }
     }
@@ -147,7 +148,7 @@
         }
         for (host, before) in self.hosts.iter().zip(before) {
             let state = host.state();
-            assert!(replaced || state.next_offset() >= before, "a host went back");
+            assert!(replaced || state.next_offset() >= before, "a host reverted to a lower offset");
             if state.next_offset() == before {
                 continue;
             }
@@ -157,8 +158,8 @@
         }
     }
 
-    /// The log is back: everybody must arrive at the same end.
-    fn settle(&mut self) {
+    /// With the log available again, all hosts must reach the same state.
+    fn converge(&mut self) {
         let record = Record::Checkpoint(self.reference.seal()).encode();
         self.append(&record);
         for host in &mut self.hosts {
@@ -168,17 +169,17 @@
     }
 }
 
-/// Hosts read the log in pieces, get records from relays twice and out of order, adopt each other's states, are
-/// replaced, and lose the log for a while, as partners publish, conflict, forge and repeat. If two hosts ever
-/// held different classes at one offset, or one went back, a caller would be served by targets that depend on
-/// the host that the balancer picked.
+/// Hosts read the log in pieces, receive relayed records twice and out of order, adopt each other's states,
+/// are replaced and lose the log, while partners publish, conflict, forge and repeat. If two hosts held
+/// different classes at one offset, or one moved backwards, the target of a request would depend on the host
+/// that the load balancer picked.
 #[test]
-fn hosts_agree_at_every_offset_and_never_go_back() {
+fn hosts_agree_at_every_offset_and_never_revert() {
     for seed in 0..seeds() {
-        let mut world = World::new(seed);
+        let mut simulation = Simulation::new(seed);
         for _ in 0..STEPS {
-            world.step();
+            simulation.step();
         }
-        world.settle();
+        simulation.converge();
     }
 }
--- a/crates/core/tests/config/support.rs
+++ b/crates/core/tests/config/support.rs
@@ -1,8 +1,8 @@
-//! A log in memory and short ways to publish to it.
+//! In-memory log and helpers to publish to it.
 
 use ed25519_dalek::SigningKey;
 use hibiscusvale_core::config::{
-    ChangeBody, CheckpointKey, ClassChange, ClassTarget, ConfigFold, ConfigState, Intake, LogBounds,
+    ChangeBody, CheckpointKey, ClassChange, ClassTarget, ConfigFold, ConfigState, FoldOutcome, LogBounds,
     PublisherKeys, Record, SignedChange,
 };
 use hibiscusvale_core::ids::{ChangeId, ClassName, Offset, PartnerId};
@@ -20,7 +20,7 @@
         Self { id: name.parse().expect("a partner"), key: SigningKey::from_bytes(&[seed; 32]) }
     }
 
-    /// A signed change made from `made_from`.
+    /// Creates a signed change based on version `made_from`.
     pub fn change(&self, change_id: u128, made_from: Option<u64>, changes: Vec<ClassChange>) -> SignedChange {
         let body = ChangeBody {
             made_from: made_from.map(Offset),
@@ -31,7 +31,7 @@
         body.sign(&self.id, ChangeId(change_id), &self.key)
     }
 
-    /// A record that sets the plain target of one class.
+    /// Creates a record that sets the plain target of one class.
     pub fn publish(&self, change_id: u128, made_from: Option<u64>, name: &str, target_ms: u64) -> Vec<u8> {
         Record::Change(self.change(change_id, made_from, vec![set(name, target_ms)])).encode()
     }
@@ -61,14 +61,14 @@
     [nadifa(), registry()].map(|publisher| (publisher.id, publisher.key.verifying_key())).into()
 }
 
-/// A daemon that asked its peers already and found none.
+/// A fold that may start from offset 0, like a daemon whose peers had no state.
 pub fn daemon() -> ConfigFold {
     let mut fold = ConfigFold::new(keys(), checkpoint_key());
     fold.allow_genesis();
     fold
 }
 
-/// The plain target of a class, if it is in force.
+/// The plain target of a class in milliseconds, if it is in force.
 pub fn target_ms(state: &ConfigState, publisher: &Publisher, name: &str) -> Option<u64> {
     use hibiscusvale_core::config::TargetKind;
     match state.class(&publisher.id, &class(name))?.kind {
@@ -77,14 +77,14 @@
     }
 }
 
-/// The platform's log: records from `start` on.
+/// In-memory stand-in for the platform's log, with records from `start` on.
 #[derive(Clone, Debug, Default)]
-pub struct FakeLog {
+pub struct InMemoryLog {
     pub start: u64,
     pub records: Vec<Vec<u8>>,
 }
 
-impl FakeLog {
+impl InMemoryLog {
     pub fn append(&mut self, record: Vec<u8>) -> u64 {
         self.records.push(record);
         self.next() - 1
@@ -94,7 +94,7 @@
         self.start + self.records.len() as u64
     }
 
-    /// Lets the records before `start` expire.
+    /// Expires the records before `start`.
     pub fn expire_to(&mut self, start: u64) {
         let start = start.clamp(self.start, self.next());
         let expired = usize::try_from(start - self.start).expect("small");
@@ -111,22 +111,22 @@
         LogBounds { start_offset: Offset(self.start), next_offset: Offset(self.next()) }
     }
 
-    /// Reads at most `limit` records from where `fold` wants them, as a daemon does.
-    pub fn read_into(&self, fold: &mut ConfigFold, limit: usize) -> Vec<Intake> {
+    /// Reads at most `limit` records at the offsets that `fold` requests, as a daemon does.
+    pub fn read_into(&self, fold: &mut ConfigFold, limit: usize) -> Vec<FoldOutcome> {
         fold.observe_log(self.bounds());
-        let mut intakes = Vec::new();
+        let mut outcomes = Vec::new();
         for _ in 0..limit {
-            let offset = fold.wanted();
+            let offset = fold.read_offset();
             let Some(bytes) = self.get(offset) else {
                 break;
             };
-            intakes.push(fold.take(offset, bytes));
+            outcomes.push(fold.ingest(offset, bytes));
         }
-        intakes
+        outcomes
     }
 
-    /// Reads all there is.
-    pub fn read_all(&self, fold: &mut ConfigFold) -> Vec<Intake> {
+    /// Reads all available records.
+    pub fn read_all(&self, fold: &mut ConfigFold) -> Vec<FoldOutcome> {
         self.read_into(fold, self.records.len() + 1)
     }
 }
--- a/crates/core/tests/nodes/harness.rs
+++ b/crates/core/tests/nodes/harness.rs
@@ -1,4 +1,5 @@
-//! Daemons as pure state machines on one virtual clock, joined by messages that can be lost, late or cut.
+//! Simulates daemons as state machines on a virtual clock, connected by messages that can be lost, delayed or
+//! blocked.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -17,10 +18,10 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Bytes around a message on the wire, but for the sender's name: transport header, version, receiver flag,
-/// name length, incarnation, sequence, two tags, authentication code.
+/// Bytes of message overhead on the wire, without the sender's name: transport header, version, receiver
+/// flag, name length, incarnation, sequence, two tags, authentication code.
 const ENVELOPE_BYTES: u64 = 8 + 2 + 1 + 10 + 3 + 2 + 16;
-/// Time between two reads of the log by a reader.
+/// Interval between reads of the log by a reader.
 const LOG_POLL_US: u64 = 100_000;
 const FIRST_UNIX_MS: u64 = 1_700_000_000_000;
 
@@ -31,9 +32,9 @@
 }
 
 #[derive(Debug)]
-enum Happening {
-    Tick { life: Incarnation },
-    Poll { life: Incarnation },
+enum SimulatedEvent {
+    Tick { process: Incarnation },
+    Poll { process: Incarnation },
     Message { from: HostId, incarnation: Incarnation, body: Body },
 }
 
@@ -42,7 +43,7 @@
     at_us: u64,
     order: u64,
     daemon: usize,
-    happening: Happening,
+    event: SimulatedEvent,
 }
 
 impl PartialEq for Scheduled {
@@ -65,61 +66,61 @@
     }
 }
 
-/// One daemon.
+/// A simulated daemon.
 #[derive(Debug)]
 pub struct Daemon {
-    /// Who lives, as it sees it.
+    /// Membership state machine.
     pub membership: Membership,
-    /// What it spreads.
+    /// Dissemination state machine.
     pub spread: Spread,
-    /// Whether it runs.
+    /// Whether the process runs.
     pub is_up: bool,
-    /// It does nothing before this time.
+    /// The daemon processes no event before this time.
     pub paused_until_us: u64,
-    /// Bytes that it sent.
+    /// Bytes sent.
     pub sent_bytes: u64,
-    /// Messages that it sent.
+    /// Messages sent.
     pub sent_messages: u64,
-    /// Whether it can reach the platform's log.
+    /// Whether the daemon can reach the platform's log.
     pub reaches_log: bool,
-    /// The configuration in force: the first offset it lacks and its hash.
+    /// The configuration in force: the first offset that is not applied, and the hash of the state.
     pub in_force: (Offset, StateHash),
     /// Times at which each offset came into force.
     pub in_force_at_us: Vec<(Offset, u64)>,
     reads_log: bool,
 }
 
-/// Whether messages pass from one daemon to another.
-pub type Passes = Box<dyn Fn(&MemberRecord, &MemberRecord) -> bool>;
+/// Decides whether a message from one daemon to another is delivered.
+pub type LinkFilter = Box<dyn Fn(&MemberRecord, &MemberRecord) -> bool>;
 
-/// Daemons on one virtual clock.
-pub struct Net {
-    /// The time.
+/// Daemons on a virtual clock.
+pub struct Network {
+    /// Current time.
     pub now_us: u64,
-    /// The daemons.
+    /// All daemons, by number.
     pub daemons: Vec<Daemon>,
-    /// Share of messages lost.
+    /// Probability that a message is lost.
     pub loss: f64,
-    /// Time that a message takes: at least and at most.
+    /// Minimum and maximum message delay.
     pub delay_us: (u64, u64),
-    /// Whether messages pass.
-    pub passes: Passes,
+    /// Decides which messages are delivered.
+    pub link_filter: LinkFilter,
     /// The configuration stream of the platform's log.
     pub log: Vec<Arc<[u8]>>,
-    /// Size of an encoded state.
+    /// Size of an encoded state in bytes.
     pub state_bytes: usize,
     /// Settings of membership.
     pub membership: MembershipSettings,
-    /// Settings of spreading.
+    /// Settings of dissemination.
     pub spread: SpreadSettings,
-    /// Messages that arrived.
+    /// Number of messages delivered.
     pub arrived: u64,
     queue: BinaryHeap<Reverse<Scheduled>>,
     order: u64,
     rng: StdRng,
 }
 
-/// Host `index` of data centre `data_centre`.
+/// Name of host `index` in data centre `data_centre`.
 pub fn host(data_centre: usize, index: usize) -> HostId {
     format!("dc{data_centre:02}-entry-{index:02}").parse().unwrap()
 }
@@ -128,14 +129,15 @@
     SocketAddr::from(([127, 0, 0, 1], u16::try_from(10_000 + index).unwrap()))
 }
 
-impl Net {
-    /// `data_centres` data centres with `hosts` daemons each, none started. Everybody is given two seeds.
+impl Network {
+    /// Creates `data_centres` data centres with `hosts` daemons each, none started. Every daemon gets the
+    /// same two seeds.
     pub fn new(data_centres: usize, hosts: usize, seed: u64) -> Self {
         let (membership, spread) = (MembershipSettings::default(), SpreadSettings::default());
         Self::with(data_centres, hosts, seed, membership, spread)
     }
 
-    /// As [`Net::new`] with other settings.
+    /// Like [`Network::new`], with other settings.
     pub fn with(
         data_centres: usize,
         hosts: usize,
@@ -148,7 +150,7 @@
             daemons: Vec::new(),
             loss: 0.0,
             delay_us: (500, 5_000),
-            passes: Box::new(|_, _| true),
+            link_filter: Box::new(|_, _| true),
             log: Vec::new(),
             state_bytes: 60_000,
             membership,
@@ -214,7 +216,7 @@
             .collect()
     }
 
-    /// Starts all daemons within one second, each with the platform's list.
+    /// Starts all daemons within one second, each with the platform's host list.
     pub fn start_all(&mut self) {
         let listed = self.contacts();
         for number in 0..self.daemons.len() {
@@ -228,18 +230,18 @@
     /// Starts one daemon.
     pub fn start(&mut self, number: usize) {
         self.daemons[number].is_up = true;
-        let life = self.daemons[number].membership.own().incarnation;
+        let process = self.daemons[number].membership.own().incarnation;
         let offset_us = self.rng.random_range(0..1_000_000);
-        self.schedule(self.now_us + offset_us, number, Happening::Tick { life });
-        self.schedule(self.now_us + offset_us, number, Happening::Poll { life });
+        self.schedule(self.now_us + offset_us, number, SimulatedEvent::Tick { process });
+        self.schedule(self.now_us + offset_us, number, SimulatedEvent::Poll { process });
     }
 
-    /// Ends one daemon without a word.
+    /// Kills one daemon without notice to the others.
     pub fn kill(&mut self, number: usize) {
         self.daemons[number].is_up = false;
     }
 
-    /// Starts a new life of a host under the same name and address.
+    /// Replaces a host by a new incarnation under the same name and address.
     pub fn replace(&mut self, number: usize) {
         let old = self.daemons[number].membership.own().clone();
         let record = MemberRecord {
@@ -252,12 +254,12 @@
         self.start(number);
     }
 
-    /// Stops one daemon from doing anything for a while; what arrives meanwhile waits.
+    /// Suspends one daemon; messages that arrive meanwhile are queued.
     pub fn pause(&mut self, number: usize, span_ms: Millis) {
         self.daemons[number].paused_until_us = self.now_us + Micros::from(span_ms).0;
     }
 
-    /// Appends a record to the log.
+    /// Appends a record of random bytes to the log.
     pub fn append(&mut self, bytes: usize) -> Offset {
         let mut data = vec![0; bytes];
         self.rng.fill(data.as_mut_slice());
@@ -265,13 +267,13 @@
         Offset(self.log.len() as u64 - 1)
     }
 
-    fn schedule(&mut self, at_us: u64, daemon: usize, happening: Happening) {
+    fn schedule(&mut self, at_us: u64, daemon: usize, event: SimulatedEvent) {
         self.order += 1;
         let order = self.order;
-        self.queue.push(Reverse(Scheduled { at_us, order, daemon, happening }));
+        self.queue.push(Reverse(Scheduled { at_us, order, daemon, event }));
     }
 
-    /// Runs for a while.
+    /// Runs the simulation for a time.
     pub fn run(&mut self, span_ms: Millis) {
         let end_us = self.now_us + Micros::from(span_ms).0;
         while let Some(Reverse(next)) = self.queue.peek() {
@@ -282,12 +284,13 @@
                 break;
             };
             self.now_us = self.now_us.max(scheduled.at_us);
-            self.happen(scheduled);
+            self.dispatch(scheduled);
         }
         self.now_us = end_us;
     }
 
-    /// Runs in steps of 100 ms until `is_done`, at most `limit_ms`. Returns the time that it took.
+    /// Runs in steps of 100 ms until `is_done`, for at most `limit_ms`. Returns the time taken, or `None` if
+    /// the limit passed.
     pub fn run_until<Done>(&mut self, limit_ms: Millis, is_done: Done) -> Option<Millis>
     where
         Done: Fn(&Self) -> bool,
@@ -302,34 +305,34 @@
         None
     }
 
-    fn happen(&mut self, scheduled: Scheduled) {
-        let Scheduled { daemon: number, happening, .. } = scheduled;
+    fn dispatch(&mut self, scheduled: Scheduled) {
+        let Scheduled { daemon: number, event, .. } = scheduled;
         let daemon = &self.daemons[number];
         if !daemon.is_up {
             return;
         }
         if daemon.paused_until_us > self.now_us {
             let at_us = daemon.paused_until_us;
-            self.schedule(at_us, number, happening);
+            self.schedule(at_us, number, event);
             return;
         }
-        let life = daemon.membership.own().incarnation;
-        match happening {
-            Happening::Tick { life: of } if of == life => {
+        let process = daemon.membership.own().incarnation;
+        match event {
+            SimulatedEvent::Tick { process: of } if of == process => {
                 self.schedule(
                     self.now_us + Micros::from(self.membership.tick_ms).0,
                     number,
-                    Happening::Tick { life },
+                    SimulatedEvent::Tick { process },
                 );
                 self.membership_event(number, MembershipEvent::Tick);
                 self.spread_event(number, SpreadEvent::Tick);
             }
-            Happening::Poll { life: of } if of == life => {
-                self.schedule(self.now_us + LOG_POLL_US, number, Happening::Poll { life });
+            SimulatedEvent::Poll { process: of } if of == process => {
+                self.schedule(self.now_us + LOG_POLL_US, number, SimulatedEvent::Poll { process });
                 self.poll(number);
             }
-            Happening::Tick { .. } | Happening::Poll { .. } => {}
-            Happening::Message { from, incarnation, body } => {
+            SimulatedEvent::Tick { .. } | SimulatedEvent::Poll { .. } => {}
+            SimulatedEvent::Message { from, incarnation, body } => {
                 self.arrived += 1;
                 match body {
                     Body::Membership(message) => {
@@ -360,7 +363,7 @@
             .take(64)
             .map(|(offset, data)| ConfigRecord {
                 offset: Offset(offset as u64),
-                data: RecordData::Whole(Arc::clone(data)),
+                data: RecordData::Full(Arc::clone(data)),
             })
             .collect();
         if !records.is_empty() {
@@ -368,7 +371,7 @@
         }
     }
 
-    /// Lets something happen to one daemon's membership.
+    /// Passes an event to one daemon's membership.
     pub fn membership_event(&mut self, number: usize, event: MembershipEvent) {
         let mut actions = Vec::new();
         let now_us = MonoTime(self.now_us);
@@ -384,7 +387,7 @@
         }
     }
 
-    /// Lets something happen to one daemon's spreading.
+    /// Passes an event to one daemon's dissemination.
     pub fn spread_event(&mut self, number: usize, event: SpreadEvent) {
         let mut actions = Vec::new();
         let now_us = MonoTime(self.now_us);
@@ -403,7 +406,7 @@
                 SpreadAction::AdoptState { next_offset, data } => {
                     let mut hash = [0; 8];
                     hash.copy_from_slice(&data[..8]);
-                    self.enforce(number, next_offset, StateHash(hash));
+                    self.set_in_force(number, next_offset, StateHash(hash));
                 }
                 SpreadAction::ProvideState => {
                     let (next_offset, state) = self.daemons[number].in_force;
@@ -418,13 +421,13 @@
         }
     }
 
-    /// Folds records as the configuration service would: in order, each once, checkpoints without effect.
+    /// Folds records like the configuration service: in order, each once, checkpoints without effect.
     fn fold(&mut self, number: usize, records: &[ConfigRecord]) {
         let (mut next, mut state) = self.daemons[number].in_force;
         for record in records {
             assert_eq!(record.offset, next, "records are delivered without a gap");
             next = record.offset.next();
-            if let RecordData::Whole(data) = &record.data
+            if let RecordData::Full(data) = &record.data
                 && data.len() <= self.spread.elided_above_bytes
             {
                 let mut hasher = blake3::Hasher::new();
@@ -433,10 +436,10 @@
                 state.0.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
             }
         }
-        self.enforce(number, next, state);
+        self.set_in_force(number, next, state);
     }
 
-    fn enforce(&mut self, number: usize, next_offset: Offset, state: StateHash) {
+    fn set_in_force(&mut self, number: usize, next_offset: Offset, state: StateHash) {
         let now_us = self.now_us;
         let daemon = &mut self.daemons[number];
         assert!(next_offset >= daemon.in_force.0, "configuration never reverts");
@@ -457,42 +460,43 @@
         let Some(receiver) = self.daemons.get(to) else {
             return;
         };
-        if !(self.passes)(&own, receiver.membership.own()) || self.rng.random_bool(self.loss) {
+        if !(self.link_filter)(&own, receiver.membership.own()) || self.rng.random_bool(self.loss) {
             return;
         }
         let delay_us = self.rng.random_range(self.delay_us.0..=self.delay_us.1);
-        let happening = Happening::Message { from: own.host, incarnation: own.incarnation, body };
-        self.schedule(self.now_us + delay_us, to, happening);
+        let event = SimulatedEvent::Message { from: own.host, incarnation: own.incarnation, body };
+        self.schedule(self.now_us + delay_us, to, event);
     }
 
-    /// The view of one daemon.
+    /// The membership view of one daemon.
     pub fn view(&self, number: usize) -> &MembersView {
         self.daemons[number].membership.view()
     }
 
-    /// Numbers of the daemons that run.
-    pub fn up(&self) -> impl Iterator<Item = usize> + '_ {
+    /// Numbers of the running daemons.
+    pub fn running(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.daemons.len()).filter(|number| self.daemons[*number].is_up)
     }
 
-    /// Whether each running daemon sees exactly the running daemons, in their present lives.
-    pub fn agrees(&self) -> bool {
+    /// Whether each running daemon's view contains exactly the running daemons, in their current
+    /// incarnations.
+    pub fn has_converged(&self) -> bool {
         let running: Vec<MemberRecord> =
-            self.up().map(|number| self.daemons[number].membership.own().clone()).collect();
-        self.up().all(|number| {
+            self.running().map(|number| self.daemons[number].membership.own().clone()).collect();
+        self.running().all(|number| {
             let view = self.view(number);
             view.is_heard
                 && view.all().count() == running.len()
-                && running.iter().all(|record| view.has_life(&record.host, record.incarnation))
+                && running.iter().all(|record| view.has_incarnation(&record.host, record.incarnation))
         })
     }
 
     /// Whether each running daemon has the record at `offset` in force.
     pub fn has_in_force(&self, offset: Offset) -> bool {
-        self.up().all(|number| self.daemons[number].in_force.0 > offset)
+        self.running().all(|number| self.daemons[number].in_force.0 > offset)
     }
 
-    /// Sum over all daemons of what `count` tells of each.
+    /// Sums `count` over all daemons.
     pub fn total<Count>(&self, count: Count) -> u64
     where
         Count: Fn(&Daemon) -> u64,
--- a/crates/core/tests/nodes/main.rs
+++ b/crates/core/tests/nodes/main.rs
@@ -1,4 +1,4 @@
-//! How daemons act together: membership and spreading, as state machines without sockets.
+//! Interaction of daemons: membership and dissemination as state machines without sockets.
 
 mod harness;
 mod membership;
