--- a/crates/core/tests/nodes/membership.rs
+++ b/crates/core/tests/nodes/membership.rs
@@ -1,146 +1,148 @@
-//! Membership under loss, cuts, pauses and restarts. One round is one tick of 400 ms.
+//! Membership under message loss, network partitions, suspended processes and restarts. One round is one tick
+//! of 400 ms.
 
 use hibiscusvale_core::membership::{MemberState, MembershipEvent};
 use hibiscusvale_core::units::Millis;
 use rstest::rstest;
 
-use crate::harness::{Net, host};
+use crate::harness::{Network, host};
 
 const SETTLED: Millis = Millis(40_000);
 
-/// The time of so many rounds.
+/// Duration of `count` rounds.
 fn rounds(count: u64) -> Millis {
     Millis(count * 400)
 }
 
-fn started(data_centres: usize, hosts: usize, seed: u64) -> Net {
-    let mut net = Net::new(data_centres, hosts, seed);
+fn converged_network(data_centres: usize, hosts: usize, seed: u64) -> Network {
+    let mut net = Network::new(data_centres, hosts, seed);
     net.start_all();
-    let took = net.run_until(SETTLED, Net::agrees);
-    assert!(took.is_some(), "a fresh start converges");
+    let took = net.run_until(SETTLED, Network::has_converged);
+    assert!(took.is_some(), "no convergence after a cold start");
     net
 }
 
-/// All hosts come up at once, knowing two seeds and the platform's list.
+/// All hosts start at once with two seeds and the platform's host list.
 #[rstest]
 #[case(1, 3, 10)]
 #[case(1, 34, 30)]
 #[case(3, 8, 40)]
 fn converges_from_a_cold_start(#[case] data_centres: usize, #[case] hosts: usize, #[case] bound: u64) {
-    let mut net = Net::new(data_centres, hosts, 1);
+    let mut net = Network::new(data_centres, hosts, 1);
     net.start_all();
-    let took = net.run_until(rounds(bound), Net::agrees);
-    assert!(took.is_some(), "not in {bound} rounds");
+    let took = net.run_until(rounds(bound), Network::has_converged);
+    assert!(took.is_some(), "no convergence within {bound} rounds");
 }
 
-/// A process dies without a word. Its work has to move within seconds, and nobody else may be taken for dead
-/// with it.
+/// A process dies without notice. Its jobs have to move within seconds, and no other daemon may be declared
+/// dead.
 #[rstest]
 #[case(8)]
 #[case(34)]
-fn notices_a_death_within_34_rounds(#[case] hosts: usize) {
-    let mut net = started(1, hosts, 2);
+fn detects_a_failure_within_34_rounds(#[case] hosts: usize) {
+    let mut net = converged_network(1, hosts, 2);
     net.kill(hosts - 1);
-    let took = net.run_until(rounds(34), Net::agrees);
-    assert!(took.is_some(), "death not noticed everywhere");
+    let took = net.run_until(rounds(34), Network::has_converged);
+    assert!(took.is_some(), "a daemon did not detect the failure");
     assert_eq!(net.total(|daemon| daemon.membership.counts().died), hosts as u64 - 1);
 }
 
-/// A fifth of all messages is lost for ten minutes. Were a daemon taken for dead by that, its servers would
-/// change their watcher, be quiet for a while, and change back.
+/// A fifth of all messages is lost for ten minutes. A daemon wrongly declared dead would make its servers
+/// change their watcher, be unmonitored for a while, and change back.
 #[test]
 fn does_not_flap_under_twenty_percent_loss() {
-    let mut net = started(1, 34, 3);
+    let mut net = converged_network(1, 34, 3);
     net.loss = 0.2;
     net.run(Millis(600_000));
-    assert!(net.agrees());
+    assert!(net.has_converged());
     assert_eq!(net.total(|daemon| daemon.membership.counts().died), 0);
 }
 
-/// Messages take up to two seconds, as on a network that is about to fail.
+/// Messages take up to two seconds, as on a failing network.
 #[test]
 fn does_not_flap_under_long_delays() {
-    let mut net = started(1, 34, 4);
+    let mut net = converged_network(1, 34, 4);
     net.delay_us = (0, 2_000_000);
     net.run(Millis(120_000));
     assert_eq!(net.total(|daemon| daemon.membership.counts().died), 0);
 }
 
-/// One direction between two hosts fails. Both are well and serve callers; the others carry their heartbeats.
+/// One direction of the link between two hosts fails. Both are healthy, and heartbeats must arrive through
+/// other hosts.
 #[test]
-fn one_direction_of_one_link_kills_nobody() {
-    let mut net = started(1, 8, 5);
-    net.passes = Box::new(|from, to| from.host != host(0, 1) || to.host != host(0, 2));
+fn one_way_link_failure_makes_no_daemon_dead() {
+    let mut net = converged_network(1, 8, 5);
+    net.link_filter = Box::new(|from, to| from.host != host(0, 1) || to.host != host(0, 2));
     net.run(Millis(120_000));
-    assert!(net.agrees());
+    assert!(net.has_converged());
     assert_eq!(net.total(|daemon| daemon.membership.counts().died), 0);
 }
 
-/// A host can receive but nothing it sends arrives. The others give its work away; it has to notice that it
-/// is not heard, or two daemons would go on granting the slots of the same servers.
+/// A host receives messages, but nothing it sends arrives. Its peers reassign its jobs, so it must detect
+/// that it is not heard; otherwise two daemons would grant slots of the same servers.
 #[test]
-fn a_host_that_is_not_heard_knows_it() {
-    let mut net = started(1, 8, 6);
-    net.passes = Box::new(|from, _| from.host != host(0, 3));
+fn a_host_detects_that_it_is_not_heard() {
+    let mut net = converged_network(1, 8, 6);
+    net.link_filter = Box::new(|from, _| from.host != host(0, 3));
     net.run(rounds(34));
-    assert!(!net.view(3).is_heard, "it must stop its work");
-    assert!(net.view(0).find(&host(0, 3)).is_none(), "its work has moved");
-    net.passes = Box::new(|_, _| true);
-    assert!(net.run_until(rounds(12), Net::agrees).is_some());
+    assert!(!net.view(3).is_heard, "the host must detect that it is not heard");
+    assert!(net.view(0).find(&host(0, 3)).is_none(), "the host is still in a peer's view");
+    net.link_filter = Box::new(|_, _| true);
+    assert!(net.run_until(rounds(12), Network::has_converged).is_some());
 }
 
-/// A virtual machine is halted for twenty seconds and goes on. It heard nobody meanwhile, but they are well:
-/// it must not take all of them for dead and claim their work, nor go on with its own, which has moved.
+/// A virtual machine is suspended for twenty seconds. When it resumes, it must neither declare its peers dead
+/// and claim their jobs nor continue its own jobs, which have been reassigned.
 #[test]
-fn a_pause_makes_nobody_else_dead() {
-    let mut net = started(1, 8, 7);
+fn a_suspended_daemon_declares_no_peer_dead() {
+    let mut net = converged_network(1, 8, 7);
     net.pause(2, Millis(20_000));
     net.run(Millis(20_600));
     assert_eq!(net.daemons[2].membership.counts().died, 0);
     assert_eq!(net.daemons[2].membership.counts().paused, 1);
-    assert!(!net.view(2).is_heard, "its work has moved, it waits until it is heard again");
-    assert!(net.run_until(rounds(12), Net::agrees).is_some());
+    assert!(!net.view(2).is_heard, "a resumed daemon must not count as heard before a new echo");
+    assert!(net.run_until(rounds(12), Network::has_converged).is_some());
 }
 
-/// A host is replaced under its own name and address before anybody missed it. What was granted to the old
-/// process is void, so everybody has to see the new life.
+/// A host is replaced under its own name and address before it is missed. Grants to the old process are void,
+/// so every daemon has to see the new incarnation.
 #[test]
-fn a_host_replaced_under_its_address_is_a_new_life() {
-    let mut net = started(2, 6, 8);
+fn a_host_replaced_under_its_address_is_a_new_incarnation() {
+    let mut net = converged_network(2, 6, 8);
     net.replace(4);
-    let took = net.run_until(rounds(30), Net::agrees);
-    assert!(took.is_some(), "everybody sees the new life");
+    let took = net.run_until(rounds(30), Network::has_converged);
+    assert!(took.is_some(), "a daemon does not see the new incarnation");
 }
 
-/// The replaced process was only paused and wakes. It has to learn that it was replaced and stop.
+/// The replaced process was only suspended and resumes. It has to learn that it was superseded and stop.
 #[test]
-fn a_replaced_process_that_wakes_is_told_to_stop() {
-    let mut net = started(1, 5, 9);
+fn a_superseded_process_is_told_to_stop_when_it_resumes() {
+    let mut net = converged_network(1, 5, 9);
     let old = net.daemons[4].membership.own().clone();
     net.replace(4);
-    assert!(net.run_until(rounds(30), Net::agrees).is_some());
+    assert!(net.run_until(rounds(30), Network::has_converged).is_some());
     let event = MembershipEvent::Message {
         from: old.host.clone(),
         incarnation: net.daemons[4].membership.own().incarnation,
         message: hibiscusvale_core::membership::MembershipMessage::Ping { counter: 1 },
     };
-    let mut zombie = hibiscusvale_core::membership::Membership::new(net.membership, old, Vec::new(), 9);
+    let mut superseded = hibiscusvale_core::membership::Membership::new(net.membership, old, Vec::new(), 9);
     let mut actions = Vec::new();
-    zombie.handle(hibiscusvale_core::units::MonoTime(1), event, &mut actions);
-    let is_told = actions
+    superseded.handle(hibiscusvale_core::units::MonoTime(1), event, &mut actions);
+    let is_told_to_stop = actions
         .iter()
         .any(|action| matches!(action, hibiscusvale_core::membership::MembershipAction::Superseded { .. }));
-    assert!(is_told);
+    assert!(is_told_to_stop);
 }
 
-/// A daemon begins to stop. Everybody has to know within seconds, so that its work moves while it still
-/// finishes what it has.
+/// A daemon starts to shut down. All others have to know within seconds, so that its jobs move while it
+/// completes its open requests.
 #[test]
 fn leaving_is_known_everywhere() {
-    let mut net = started(2, 6, 10);
+    let mut net = converged_network(2, 6, 10);
     net.membership_event(1, MembershipEvent::Leave);
-    let is_known = |net: &Net| {
-        net.up().all(|number| {
+    let is_known = |net: &Network| {
+        net.running().all(|number| {
             let member = net.view(number).find(&host(0, 1));
             member.is_some_and(|member| member.state == MemberState::Leaving)
         })
@@ -148,10 +150,10 @@
     assert!(net.run_until(rounds(20), is_known).is_some());
 }
 
-/// A tenth of all hosts is restarted at once by a faulty rollout.
+/// A faulty rollout restarts a tenth of all hosts at once.
 #[test]
 fn survives_the_restart_of_a_tenth() {
-    let mut net = started(2, 20, 11);
+    let mut net = converged_network(2, 20, 11);
     let restarted = [0, 10, 20, 30];
     for number in restarted {
         net.kill(number);
@@ -160,55 +162,60 @@
     for number in restarted {
         net.replace(number);
     }
-    assert!(net.run_until(rounds(60), Net::agrees).is_some());
-    assert_eq!(net.total(|daemon| daemon.membership.counts().died), 0, "nobody was missed for long");
+    assert!(net.run_until(rounds(60), Network::has_converged).is_some());
+    assert_eq!(
+        net.total(|daemon| daemon.membership.counts().died),
+        0,
+        "no daemon may be declared dead by a short restart"
+    );
 }
 
-/// Two halves of a data centre lose each other for a minute. Each serves what it can; afterwards they have to
-/// find each other again although each holds the other for dead.
+/// A data centre is partitioned into two halves for a minute. Each half keeps serving; afterwards they have
+/// to merge although each declared the other dead.
 #[test]
-fn halves_meet_again_after_a_cut() {
-    let mut net = started(1, 10, 12);
-    net.passes = Box::new(|from, to| (from.host < host(0, 5)) == (to.host < host(0, 5)));
+fn partitions_merge_after_healing() {
+    let mut net = converged_network(1, 10, 12);
+    net.link_filter = Box::new(|from, to| (from.host < host(0, 5)) == (to.host < host(0, 5)));
     net.run(Millis(60_000));
     assert_eq!(net.view(0).all().count(), 5);
     assert_eq!(net.view(9).all().count(), 5);
-    net.passes = Box::new(|_, _| true);
-    assert!(net.run_until(rounds(40), Net::agrees).is_some());
+    net.link_filter = Box::new(|_, _| true);
+    assert!(net.run_until(rounds(40), Network::has_converged).is_some());
 }
 
-/// A region is cut off for two minutes. Inside, nobody is taken for dead; across, nobody is counted on, and
-/// all come back by themselves.
+/// A region is isolated for two minutes. No daemon may be declared dead inside it, daemons of other regions
+/// become unreachable, and all recover when the partition heals.
 #[test]
-fn a_region_cut_off_comes_back() {
-    let mut net = started(6, 4, 13);
-    net.passes = Box::new(|from, to| from.region == to.region);
+fn an_isolated_region_recovers() {
+    let mut net = converged_network(6, 4, 13);
+    net.link_filter = Box::new(|from, to| from.region == to.region);
     net.run(Millis(120_000));
     assert_eq!(net.total(|daemon| daemon.membership.counts().died), 0);
     let states = net.view(0).all().map(|member| member.state);
     let unreachable = states.filter(|state| *state == MemberState::Unreachable).count();
     assert_eq!(unreachable, 12);
-    net.passes = Box::new(|_, _| true);
-    let is_whole = |net: &Net| {
-        net.agrees()
-            && net.up().all(|number| {
+    net.link_filter = Box::new(|_, _| true);
+    let is_recovered = |net: &Network| {
+        net.has_converged()
+            && net.running().all(|number| {
                 let mut members = net.view(number).all();
                 members.all(|member| member.state != MemberState::Unreachable)
             })
     };
-    assert!(net.run_until(rounds(60), is_whole).is_some());
+    assert!(net.run_until(rounds(60), is_recovered).is_some());
 }
 
-/// Two data centres cannot reach each other, a third reaches both. Each must not take the other for lost.
+/// Two data centres cannot reach each other, but a third reaches both. Neither may treat the other as
+/// unreachable.
 #[test]
-fn a_third_data_centre_carries_digests() {
-    let mut net = started(3, 4, 14);
-    net.passes = Box::new(|from, to| {
+fn a_third_data_centre_relays_digests() {
+    let mut net = converged_network(3, 4, 14);
+    net.link_filter = Box::new(|from, to| {
         let pair = (from.data_centre.as_str(), to.data_centre.as_str());
         !matches!(pair, ("dc00", "dc01") | ("dc01", "dc00"))
     });
     net.run(Millis(120_000));
-    let is_reached = |member: &hibiscusvale_core::membership::Member| member.state == MemberState::Live;
-    assert!(net.view(0).all().all(is_reached));
-    assert!(net.view(4).all().all(is_reached));
+    let is_live = |member: &hibiscusvale_core::membership::Member| member.state == MemberState::Live;
+    assert!(net.view(0).all().all(is_live));
+    assert!(net.view(4).all().all(is_live));
 }
--- a/crates/core/tests/nodes/meter.rs
+++ b/crates/core/tests/nodes/meter.rs
@@ -1,4 +1,4 @@
-//! What control costs, from totals.
+//! Resource usage of the control plane, computed from totals.
 
 use hibiscusvale_core::meter::{ControlBudget, ControlMeter, ControlTotals, CoreShare};
 use hibiscusvale_core::units::{Bytes, BytesPerSecond, Micros, MonoTime};
@@ -20,10 +20,10 @@
     assert!(!usage.is_over(&ControlBudget::default()));
 }
 
-/// A thread of the transport ends and takes its processor time with it: the total goes back. The rate must
-/// not become a huge number that sets off an alarm.
+/// A transport thread ends and its processor time leaves the total, which decreases. The rate must not
+/// underflow to a huge number that raises an alarm.
 #[test]
-fn a_total_that_goes_back_counts_as_nothing() {
+fn a_decreasing_total_counts_as_zero() {
     let mut meter = ControlMeter::default();
     meter.sample(MonoTime(1_000_000), totals(50_000, 0, 0));
     let usage = meter.sample(MonoTime(2_000_000), totals(40_000, 0, 0));
--- a/crates/core/tests/nodes/spread.rs
+++ b/crates/core/tests/nodes/spread.rs
@@ -1,112 +1,115 @@
-//! Spreading of configuration, signs and loads under loss, dying relays, cuts and outages of the log.
+//! Dissemination of configuration, server status and load under message loss, relay failures,
+//! partitions and log outages.
 
 use hibiscusvale_core::ids::{BackendServerId, Offset};
 use hibiscusvale_core::membership::MemberRecord;
-use hibiscusvale_core::spread::{ModelLoad, ModelTag, ServerSign, SpreadEvent};
+use hibiscusvale_core::spread::{ModelLoad, ModelTag, ServerStatus, SpreadEvent};
 use hibiscusvale_core::units::Millis;
 use rstest::rstest;
 
-use crate::harness::Net;
+use crate::harness::Network;
 
-/// The users' bound for a change to be in force everywhere.
+/// Required bound for a change to be in force on every daemon.
 const BOUND: Millis = Millis(5_000);
 const RECORD_BYTES: usize = 300;
 
-fn started(data_centres: usize, hosts: usize, seed: u64) -> Net {
-    let mut net = Net::new(data_centres, hosts, seed);
+fn converged_network(data_centres: usize, hosts: usize, seed: u64) -> Network {
+    let mut net = Network::new(data_centres, hosts, seed);
     net.start_all();
-    assert!(net.run_until(Millis(40_000), Net::agrees).is_some());
+    assert!(net.run_until(Millis(40_000), Network::has_converged).is_some());
     net.append(RECORD_BYTES);
     assert!(net.run_until(BOUND, |net| net.has_in_force(Offset(0))).is_some());
     net
 }
 
-/// Appends `count` records a second apart and asserts that each is in force everywhere in time.
-fn spreads_in_time(net: &mut Net, count: usize) {
+/// Appends `count` records, each after the previous one is in force everywhere, and asserts that each is in
+/// force within the bound.
+fn assert_in_force_in_time(net: &mut Network, count: usize) {
     for _ in 0..count {
         let offset = net.append(RECORD_BYTES);
         let took = net.run_until(BOUND, |net| net.has_in_force(offset));
         assert!(took.is_some(), "record {offset} was not in force everywhere in 5 s");
     }
-    let states: Vec<_> = net.up().map(|number| net.daemons[number].in_force.1).collect();
-    assert!(states.iter().all(|state| Some(state) == states.first()), "all fold the same");
+    let states: Vec<_> = net.running().map(|number| net.daemons[number].in_force.1).collect();
+    assert!(states.iter().all(|state| Some(state) == states.first()), "daemons reached different states");
     assert_eq!(net.total(|daemon| daemon.spread.counts().diverged), 0);
 }
 
-/// An operator publishes, and everything works.
+/// A change is published while everything works.
 #[rstest]
 #[case(1, 3)]
 #[case(1, 34)]
 #[case(4, 8)]
 fn a_change_is_in_force_everywhere_in_time(#[case] data_centres: usize, #[case] hosts: usize) {
-    let mut net = started(data_centres, hosts, 21);
-    spreads_in_time(&mut net, 10);
+    let mut net = converged_network(data_centres, hosts, 21);
+    assert_in_force_in_time(&mut net, 10);
 }
 
-/// A fifth of all messages is lost; records get lost on the way and digests have to bring them.
+/// A fifth of all messages is lost. Records are lost in transit and have to be recovered through digests.
 #[test]
-fn loss_does_not_hold_a_change_up() {
-    let mut net = started(2, 12, 22);
+fn message_loss_does_not_delay_a_change() {
+    let mut net = converged_network(2, 12, 22);
     net.loss = 0.2;
-    spreads_in_time(&mut net, 20);
+    assert_in_force_in_time(&mut net, 20);
 }
 
-/// Hosts die one after the other, and records are handed to the dead until their death is noticed.
+/// Hosts die one after another, and records are forwarded to dead hosts until their failure is detected.
 #[test]
-fn dying_relays_do_not_hold_a_change_up() {
-    let mut net = started(1, 20, 23);
+fn relay_failures_do_not_delay_a_change() {
+    let mut net = converged_network(1, 20, 23);
     for number in [3, 8, 13, 18] {
         net.kill(number);
-        spreads_in_time(&mut net, 2);
+        assert_in_force_in_time(&mut net, 2);
     }
 }
 
-/// The daemons that read the log are the ones that die. The others have to take their place.
+/// The daemons that read the log die. Others have to take over.
 #[test]
-fn readers_that_die_are_replaced() {
-    let mut net = started(1, 10, 24);
-    let readers: Vec<usize> = net.up().filter(|number| net.daemons[*number].spread.is_reader()).collect();
+fn failed_readers_are_replaced() {
+    let mut net = converged_network(1, 10, 24);
+    let readers: Vec<usize> =
+        net.running().filter(|number| net.daemons[*number].spread.is_reader()).collect();
     assert_eq!(readers.len(), 3);
     for number in readers {
         net.kill(number);
     }
     net.run(Millis(12_000));
-    spreads_in_time(&mut net, 3);
+    assert_in_force_in_time(&mut net, 3);
 }
 
-/// A data centre is cut off from the platform, but not from the other data centres. Its operators' changes
-/// are as urgent as ever.
+/// A data centre cannot reach the platform, but reaches the other data centres. Changes must still arrive in
+/// time.
 #[test]
 fn a_data_centre_without_the_platform_gets_changes_from_others() {
-    let mut net = started(3, 6, 25);
+    let mut net = converged_network(3, 6, 25);
     for number in 0..6 {
         net.daemons[number].reaches_log = false;
     }
-    spreads_in_time(&mut net, 10);
+    assert_in_force_in_time(&mut net, 10);
 }
 
-/// Half of all daemons cannot reach the log, the readers of a data centre among them or not.
+/// Half of all daemons cannot reach the log, possibly including readers of the data centre.
 #[test]
 fn half_of_the_daemons_without_the_log() {
-    let mut net = started(1, 8, 26);
+    let mut net = converged_network(1, 8, 26);
     for number in (0..8).step_by(2) {
         net.daemons[number].reaches_log = false;
     }
-    spreads_in_time(&mut net, 10);
+    assert_in_force_in_time(&mut net, 10);
 }
 
-/// Nothing that one data centre sends reaches another, which has no log; a third is reached by both. Digests
-/// through the third have to bring the records.
+/// Messages from one data centre to another, which has no log, are all lost; a third exchanges messages with
+/// both. Digests through the third have to transfer the records.
 #[test]
-fn a_one_way_cut_is_bridged_by_a_third_data_centre() {
-    let mut net = started(3, 4, 27);
+fn a_third_data_centre_bridges_a_one_way_partition() {
+    let mut net = converged_network(3, 4, 27);
     for number in 0..8 {
         net.daemons[number].reaches_log = number >= 4;
     }
     for number in 8..12 {
         net.daemons[number].reaches_log = false;
     }
-    net.passes =
+    net.link_filter =
         Box::new(|from, to| from.data_centre.as_str() != "dc01" || to.data_centre.as_str() != "dc00");
     for _ in 0..10 {
         let offset = net.append(RECORD_BYTES);
@@ -115,13 +118,13 @@
     }
 }
 
-/// A region is cut off from everything for two minutes while hundreds of changes are published. When the cut
-/// heals, it has to catch up without flooding anybody.
+/// A region is isolated for two minutes while over a hundred changes are published. When the partition heals,
+/// it has to catch up within seconds.
 #[test]
-fn a_region_catches_up_after_a_cut() {
-    let mut net = started(4, 4, 28);
+fn a_region_catches_up_after_a_partition() {
+    let mut net = converged_network(4, 4, 28);
     let is_cut = |record: &MemberRecord| record.data_centre.as_str() == "dc03";
-    net.passes = Box::new(move |from, to| is_cut(from) == is_cut(to));
+    net.link_filter = Box::new(move |from, to| is_cut(from) == is_cut(to));
     for number in 12..16 {
         net.daemons[number].reaches_log = false;
     }
@@ -131,21 +134,21 @@
         net.run(Millis(1_000));
     }
     assert!(net.daemons[12].in_force.0 < last);
-    net.passes = Box::new(|_, _| true);
+    net.link_filter = Box::new(|_, _| true);
     let took = net.run_until(Millis(15_000), |net| net.has_in_force(last));
     assert!(took.is_some());
 }
 
-/// A new daemon starts while the log is down and long after the records that its peers started from. It takes
-/// the state from a peer, in parts.
+/// A new daemon starts during a log outage, and its peers no longer retain the early records. It fetches the
+/// state from a peer, in parts.
 #[test]
-fn a_new_daemon_takes_the_state_of_a_peer() {
-    let mut net = started(1, 6, 29);
-    net.spread.kept_bytes = 2_000;
+fn a_new_daemon_fetches_the_state_from_a_peer() {
+    let mut net = converged_network(1, 6, 29);
+    net.spread.retained_bytes = 2_000;
     for number in 0..6 {
         net.replace(number);
     }
-    assert!(net.run_until(Millis(40_000), Net::agrees).is_some());
+    assert!(net.run_until(Millis(40_000), Network::has_converged).is_some());
     let mut last = Offset::default();
     for _ in 0..50 {
         last = net.append(RECORD_BYTES);
@@ -161,11 +164,11 @@
     assert_eq!(net.daemons[5].spread.counts().states_adopted, 1);
 }
 
-/// A checkpoint of hundreds of kilobytes is appended. Sent on to everybody it would use a minute of everyone's
-/// budget; whoever holds the state before it needs none of it.
+/// A checkpoint of hundreds of kilobytes is appended. Relaying its content would use a minute of each
+/// daemon's bandwidth budget, and daemons that hold the state before it need none of it.
 #[test]
-fn a_checkpoint_is_passed_without_its_bytes() {
-    let mut net = started(1, 10, 30);
+fn a_checkpoint_is_relayed_without_its_content() {
+    let mut net = converged_network(1, 10, 30);
     let before = net.total(|daemon| daemon.sent_bytes);
     let offset = net.append(200_000);
     assert!(net.run_until(BOUND, |net| net.has_in_force(offset)).is_some());
@@ -173,36 +176,42 @@
     assert!(sent < 200_000, "{sent} bytes were sent");
 }
 
-/// A server answers one daemon that it is leaving, while the platform's list still calls it live. Within
-/// seconds nobody may send it new work.
+/// A server tells one daemon that it is leaving while the platform's list still shows it as live. Within
+/// seconds no daemon may send it new work.
 #[rstest]
 #[case(0.0)]
 #[case(0.2)]
 fn a_leaving_server_is_known_everywhere(#[case] loss: f64) {
-    let mut net = started(3, 8, 31);
+    let mut net = converged_network(3, 8, 31);
     net.loss = loss;
     let server: BackendServerId = "replica-1".parse().unwrap();
-    let event = SpreadEvent::Saw { server: server.clone(), sign: ServerSign::Leaving };
+    let event = SpreadEvent::Observed { server: server.clone(), status: ServerStatus::Leaving };
     net.spread_event(5, event);
-    let is_known = |net: &Net| net.up().all(|number| !net.daemons[number].spread.view().may_take(&server));
+    let is_known =
+        |net: &Network| net.running().all(|number| !net.daemons[number].spread.view().accepts_work(&server));
     assert!(net.run_until(BOUND, is_known).is_some());
 
-    let event = SpreadEvent::Saw { server: server.clone(), sign: ServerSign::Taking };
+    let event = SpreadEvent::Observed { server: server.clone(), status: ServerStatus::Accepting };
     net.spread_event(20, event);
-    let is_known = |net: &Net| net.up().all(|number| net.daemons[number].spread.view().may_take(&server));
-    assert!(net.run_until(BOUND, is_known).is_some(), "and that it came back");
+    let is_known =
+        |net: &Network| net.running().all(|number| net.daemons[number].spread.view().accepts_work(&server));
+    assert!(
+        net.run_until(BOUND, is_known).is_some(),
+        "a daemon does not know that the server accepts work again"
+    );
 }
 
-/// Load of each data centre is summed up and known in all others, so that work can go where there is room.
+/// The load of each data centre is aggregated and known in all others, so that work can be routed to free
+/// capacity.
 #[test]
 fn loads_of_all_data_centres_are_known() {
-    let mut net = started(3, 4, 32);
+    let mut net = converged_network(3, 4, 32);
     for number in 0..12 {
         let load = ModelLoad { model: ModelTag([1; 4]), slots_free: 5, prefill_queue_tokens: 100 };
         net.spread_event(number, SpreadEvent::Load(vec![load]));
     }
-    let is_known = |net: &Net| {
-        net.up().all(|number| {
+    let is_known = |net: &Network| {
+        net.running().all(|number| {
             let loads = net.daemons[number].spread.view().loads;
             loads.len() == 3 && loads.values().all(|load| load.models[0].slots_free == 20)
         })
--- a/crates/core/tests/nodes/watch.rs
+++ b/crates/core/tests/nodes/watch.rs
@@ -1,10 +1,12 @@
-//! Rendezvous hashing: who does what, and what moves when a host goes.
+//! Rendezvous hashing: job assignment, and reassignment when a host fails.
 
 use std::collections::HashMap;
 
 use hibiscusvale_core::ids::{BackendServerId, DataCentreId, HostId, Incarnation, RegionId};
 use hibiscusvale_core::membership::{Member, MemberState, MembersView};
-use hibiscusvale_core::watch::{JobHash, hash_name, is_watched_here, owner_of, watcher_in, watcher_of};
+use hibiscusvale_core::watch::{
+    JobHash, hash_name, is_watched_here, owner_of, watcher_of, watcher_with_fallback,
+};
 
 fn member(data_centre: &str, index: usize) -> Member {
     let host: HostId = format!("{data_centre}-entry-{index:02}").parse().unwrap();
@@ -50,31 +52,31 @@
         .collect()
 }
 
-/// One host goes. Were more than its own servers to move, each failure would make the whole data centre wait
-/// out old grants.
+/// One host fails. If other hosts' servers moved too, each failure would make the whole data centre wait for
+/// old grants to expire.
 #[test]
-fn only_the_work_of_the_host_that_went_moves() {
+fn only_jobs_of_the_failed_host_move() {
     let before = view(34);
     let mut after = before.clone();
-    let gone = after.members.get_mut(&data_centre()).unwrap().remove(7);
+    let failed = after.members.get_mut(&data_centre()).unwrap().remove(7);
     let (old, new) = (watchers(&before), watchers(&after));
     for (server, watcher) in &old {
-        if *watcher != gone.host {
+        if *watcher != failed.host {
             assert_eq!(new.get(server), Some(watcher));
         }
     }
     let moved: Vec<&HostId> = old
         .iter()
-        .filter(|(_, watcher)| **watcher == gone.host)
+        .filter(|(_, watcher)| **watcher == failed.host)
         .filter_map(|(server, _)| new.get(server))
         .collect();
-    let mut takers = moved.clone();
-    takers.sort_unstable();
-    takers.dedup();
-    assert!(takers.len() > moved.len() / 3, "the work spreads over those that remain");
+    let mut new_watchers = moved.clone();
+    new_watchers.sort_unstable();
+    new_watchers.dedup();
+    assert!(new_watchers.len() > moved.len() / 3, "the jobs of the failed host moved to too few hosts");
 }
 
-/// A host that watched twice its share would be the first to exceed the budget of control.
+/// A host that monitors twice its share of servers would be the first to exceed the control budget.
 #[test]
 fn servers_are_spread_evenly() {
     let mut counts: HashMap<HostId, usize> = HashMap::new();
@@ -85,35 +87,36 @@
     assert!(counts.values().all(|count| (10..=50).contains(count)), "{counts:?}");
 }
 
-/// A server is watched in its own data centre, so that a cut between data centres leaves it a watcher.
+/// A server is monitored from its own data centre, so that a partition between data centres leaves it a
+/// watcher.
 #[test]
 fn the_watcher_is_of_the_servers_data_centre() {
     let all = watchers(&view(5));
     assert!(all.values().all(|watcher| watcher.as_str().starts_with("dc1-")));
 }
 
-/// A suspected host keeps its work, a leaving or unreachable one does not.
+/// A suspect host keeps its jobs; a leaving or unreachable one does not.
 #[test]
 fn only_eligible_hosts_own_jobs() {
     let mut view = view(3);
     let job = JobHash::of("claims/17");
     let owner = owner_of(job, &view).unwrap();
-    let state = |view: &mut MembersView, state| {
+    let set_state = |view: &mut MembersView, state| {
         for member in view.members.values_mut().flatten() {
             if member.host == owner {
                 member.state = state;
             }
         }
     };
-    state(&mut view, MemberState::Suspect);
+    set_state(&mut view, MemberState::Suspect);
     assert_eq!(owner_of(job, &view).as_ref(), Some(&owner));
-    state(&mut view, MemberState::Leaving);
+    set_state(&mut view, MemberState::Leaving);
     assert_ne!(owner_of(job, &view).as_ref(), Some(&owner));
-    state(&mut view, MemberState::Unreachable);
+    set_state(&mut view, MemberState::Unreachable);
     assert_ne!(owner_of(job, &view).as_ref(), Some(&owner));
 }
 
-/// A daemon that the others do not hear has lost its servers to them, whatever its own view says.
+/// A daemon whose heartbeats are not received has lost its servers to its peers, whatever its own view says.
 #[test]
 fn a_daemon_that_is_not_heard_watches_nothing() {
     let mut view = view(3);
@@ -124,22 +127,22 @@
     assert!(!is_watched_here(&server, &data_centre(), &region(), &view));
 }
 
-/// All entry hosts of a data centre die with their rack while its engines run on. Were nobody to watch the
-/// engines, callers of the whole region would be refused although a third of the capacity stands idle. While the
-/// data centre is only cut off its own daemons go on, and a second watcher would overfill the engines.
+/// All entry hosts of a data centre fail while its engines keep running. If no daemon monitored the engines,
+/// callers of the whole region would be refused although a third of the capacity is idle. While the data
+/// centre is only unreachable, its own daemons continue, and a second watcher would overcommit the engines.
 #[test]
 fn a_data_centre_without_daemons_is_watched_from_its_region() {
     let mut view = view(3);
     let server = servers().remove(0);
-    let everyone = |view: &mut MembersView, state| {
+    let set_states = |view: &mut MembersView, state| {
         for member in view.members.get_mut(&data_centre()).unwrap() {
             member.state = state;
         }
     };
-    everyone(&mut view, MemberState::Unreachable);
-    assert_eq!(watcher_in(&server, &data_centre(), &region(), &view), None);
+    set_states(&mut view, MemberState::Unreachable);
+    assert_eq!(watcher_with_fallback(&server, &data_centre(), &region(), &view), None);
     view.members.remove(&data_centre());
-    let substitute = watcher_in(&server, &data_centre(), &region(), &view).unwrap();
+    let substitute = watcher_with_fallback(&server, &data_centre(), &region(), &view).unwrap();
     assert!(substitute.as_str().starts_with("dc2"));
-    assert_eq!(watcher_in(&server, &data_centre(), &"elsewhere".parse().unwrap(), &view), None);
+    assert_eq!(watcher_with_fallback(&server, &data_centre(), &"elsewhere".parse().unwrap(), &view), None);
 }
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -11,7 +11,7 @@
 
 use arc_swap::ArcSwap;
 use hibiscusvale_core::config::{
-    Adopted, ConfigFold, ConfigState, Intake, LogBounds, LogView, SealedCheckpoint,
+    Adopted, ConfigFold, ConfigState, FoldOutcome, LogBounds, LogView, SealedCheckpoint,
 };
 use hibiscusvale_core::ids::Offset;
 use hibiscusvale_core::spread::{ConfigRecord, RecordData, SpreadEvent, StateHash};
@@ -96,7 +96,7 @@
         let mut ticks = tokio::time::interval(TICK_MS.into());
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            let wanted = self.fold.wanted();
+            let wanted = self.fold.read_offset();
             tokio::select! {
                 _ = ticks.tick() => {
                     let now_us = self.now();
@@ -149,10 +149,10 @@
         self.publish(now_us);
     }
 
-    fn take_record(&mut self, record: &ConfigRecord) -> Intake {
+    fn take_record(&mut self, record: &ConfigRecord) -> FoldOutcome {
         match &record.data {
-            RecordData::Whole(bytes) => self.fold.take(record.offset, bytes),
-            RecordData::Elided => self.fold.take_elided(record.offset),
+            RecordData::Full(bytes) => self.fold.ingest(record.offset, bytes),
+            RecordData::Elided => self.fold.ingest_elided(record.offset),
         }
     }
 
@@ -210,11 +210,11 @@
         self.fold.observe_log(LogBounds { start_offset: page.start_offset, next_offset: page.next_offset });
         let mut relayed = Vec::with_capacity(page.records.len());
         for record in &page.records {
-            let intake = self.fold.take(record.offset, &record.data);
+            let intake = self.fold.ingest(record.offset, &record.data);
             self.note_intake(&intake);
             relayed.push(ConfigRecord {
                 offset: record.offset,
-                data: RecordData::Whole(Arc::from(&*record.data)),
+                data: RecordData::Full(Arc::from(&*record.data)),
             });
         }
         if !relayed.is_empty() {
@@ -223,7 +223,7 @@
         self.writer.observe(&self.fold, page, now_us);
     }
 
-    fn note_intake(&self, intake: &Intake) {
+    fn note_intake(&self, intake: &FoldOutcome) {
         for _ in 0..intake.accepted {
             self.metrics.event(ConfigEvent::Accepted);
         }
--- a/crates/router/src/config/duty.rs
+++ b/crates/router/src/config/duty.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use futures_util::future::BoxFuture;
 use hibiscusvale_core::config::{
-    CheckpointDuty, CheckpointDutySettings, ConfigFold, LogView, Record, SeenCheckpoint,
+    CheckpointSchedule, CheckpointScheduleSettings, ConfigFold, LogView, Record, SeenCheckpoint,
 };
 use hibiscusvale_core::ids::{HostId, Offset};
 use hibiscusvale_core::membership::MembersView;
@@ -20,7 +20,7 @@
 
 /// Writes checkpoints.
 pub(super) struct CheckpointWriter {
-    duty: CheckpointDuty,
+    duty: CheckpointSchedule,
     readers: usize,
     host: HostId,
     members: Arc<ArcSwap<MembersView>>,
@@ -42,13 +42,13 @@
         members: Arc<ArcSwap<MembersView>>,
         log: Arc<dyn Log>,
     ) -> Self {
-        let duty = CheckpointDutySettings {
+        let duty = CheckpointScheduleSettings {
             interval_ms: settings.checkpoint_interval_ms,
             step_ms: settings.checkpoint_step_ms,
-            ..CheckpointDutySettings::default()
+            ..CheckpointScheduleSettings::default()
         };
         Self {
-            duty: CheckpointDuty::new(duty, MonoTime(0)),
+            duty: CheckpointSchedule::new(duty, MonoTime(0)),
             readers: settings.readers,
             host,
             members,
@@ -60,7 +60,7 @@
 
     /// A state at `next_offset` is safe elsewhere.
     pub(super) fn seen(&mut self, next_offset: Offset, now_us: MonoTime) {
-        self.duty.seen(next_offset, now_us);
+        self.duty.record_checkpoint(next_offset, now_us);
     }
 
     /// Looks at what the log holds.
@@ -71,11 +71,11 @@
             && checkpoint != self.last
         {
             self.last = checkpoint;
-            self.duty.seen(newest.next_offset, now_us);
+            self.duty.record_checkpoint(newest.next_offset, now_us);
         }
         let has_expired = checkpoint.is_some_and(|newest| newest.offset < page.start_offset);
         if has_expired || is_empty {
-            self.duty.lost(now_us);
+            self.duty.mark_lost(now_us);
         }
     }
 
@@ -89,7 +89,7 @@
         if !self.duty.is_due(fold.state().next_offset(), place.rank, now_us) {
             return;
         }
-        self.duty.tried(place.readers_total, now_us);
+        self.duty.record_attempt(place.readers_total, now_us);
         let record = Bytes::from(Record::Checkpoint(fold.seal()).encode());
         let log = Arc::clone(&self.log);
         self.pending = Some(Box::pin(async move { log.append(Stream::Config, vec![record]).await }));
--- a/crates/router/src/dispatch/mod.rs
+++ b/crates/router/src/dispatch/mod.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 
 use hibiscusvale_core::ids::{BackendServerId, HostId};
-use hibiscusvale_core::spread::{ServerSign, SpreadEvent};
+use hibiscusvale_core::spread::{ServerStatus, SpreadEvent};
 use hibiscusvale_core::units::Millis;
 use tokio::runtime::Handle;
 use tokio::sync::mpsc;
@@ -125,7 +125,7 @@
     /// Believes a server that it is leaving, and tells the other daemons: the platform's list lags.
     fn note_leaving(&self, server: &BackendServerId) {
         if self.directory.note_leaving(clock::now(), server) {
-            let saw = SpreadEvent::Saw { server: server.clone(), sign: ServerSign::Leaving };
+            let saw = SpreadEvent::Observed { server: server.clone(), status: ServerStatus::Leaving };
             // A sign that does not get through is seen again with the next refusal.
             let _ = self.spread.try_send(saw);
         }
--- a/crates/router/src/leases.rs
+++ b/crates/router/src/leases.rs
@@ -17,7 +17,7 @@
 use hibiscusvale_core::lease::{Lease, LeaseFold, LeaseHolder, LeaseRecord, LeaseSettings};
 use hibiscusvale_core::membership::MembersView;
 use hibiscusvale_core::sched::{ShiftOrder, ShiftPlanner, ShiftSettings};
-use hibiscusvale_core::spread::{ServerSign, SpreadEvent};
+use hibiscusvale_core::spread::{ServerStatus, SpreadEvent};
 use hibiscusvale_core::units::{Millis, MonoTime};
 use hibiscusvale_core::watch::{JobHash, owners_in};
 use tokio::sync::mpsc;
@@ -200,7 +200,7 @@
             self.carry_out(order);
         }
         for server in &self.draining {
-            self.say(server, ServerSign::Leaving);
+            self.say(server, ServerStatus::Leaving);
         }
         let done = self.orders.send_due(&self.settings, &self.lease, &listing, &self.parts.engines).await;
         for server in done {
@@ -221,13 +221,13 @@
     fn end_drain(&mut self, server: &BackendServerId) {
         if let Some(index) = self.draining.iter().position(|draining| draining == server) {
             self.draining.swap_remove(index);
-            self.say(server, ServerSign::Taking);
+            self.say(server, ServerStatus::Accepting);
         }
     }
 
-    fn say(&self, server: &BackendServerId, sign: ServerSign) {
+    fn say(&self, server: &BackendServerId, status: ServerStatus) {
         // Said again with the next look while the drain lasts; a lost end of it runs out by itself.
-        let _ = self.parts.spread.try_send(SpreadEvent::Saw { server: server.clone(), sign });
+        let _ = self.parts.spread.try_send(SpreadEvent::Observed { server: server.clone(), status });
     }
 
     async fn read_store(&mut self) {
--- a/crates/router/src/signs.rs
+++ b/crates/router/src/signs.rs
@@ -6,7 +6,7 @@
 use arc_swap::ArcSwap;
 use hibiscusvale_core::ids::BackendServerId;
 use hibiscusvale_core::sched::{Event, StateSignal};
-use hibiscusvale_core::spread::{ServerSign, SpreadView};
+use hibiscusvale_core::spread::{ServerStatus, SpreadView};
 
 use crate::clock;
 use crate::control::Hubs;
@@ -34,12 +34,12 @@
         if Arc::ptr_eq(&seen, &now) {
             continue;
         }
-        let changed = now.signs.iter().filter(|(server, sign)| seen.signs.get(*server) != Some(*sign));
+        let changed = now.statuses.iter().filter(|(server, sign)| seen.statuses.get(*server) != Some(*sign));
         for (server, sign) in changed {
             act_on(&kernel, &directory, &hubs, server, *sign);
         }
-        for server in seen.signs.keys().filter(|server| !now.signs.contains_key(*server)) {
-            act_on(&kernel, &directory, &hubs, server, ServerSign::Taking);
+        for server in seen.statuses.keys().filter(|server| !now.statuses.contains_key(*server)) {
+            act_on(&kernel, &directory, &hubs, server, ServerStatus::Accepting);
         }
         seen = now;
     }
@@ -50,19 +50,19 @@
     directory: &Directory,
     hubs: &OnceLock<Hubs>,
     server: &BackendServerId,
-    sign: ServerSign,
+    sign: ServerStatus,
 ) {
     let signal = match sign {
-        ServerSign::Leaving => {
+        ServerStatus::Leaving => {
             directory.note_leaving(clock::now(), server);
             StateSignal::Leaving
         }
-        ServerSign::Taking => {
+        ServerStatus::Accepting => {
             directory.note_taking(server);
             StateSignal::Live
         }
         // No room for the moment is the ledger's business.
-        ServerSign::Refusing => return,
+        ServerStatus::Refusing => return,
     };
     if let Ok(inbox) = kernel.find(ServiceName::Watcher) {
         let _ = inbox.try_send(WatcherCommand::Sign(server.clone()));
--- a/crates/router/src/slot_route.rs
+++ b/crates/router/src/slot_route.rs
@@ -35,7 +35,7 @@
     pub fn watcher_of(&self, server: &BackendServerId) -> Option<HostId> {
         let listing = self.directory.listing();
         let server = listing.servers.get(server)?;
-        watch::watcher_in(&server.id, &server.data_centre, &server.region, &self.members.load())
+        watch::watcher_with_fallback(&server.id, &server.data_centre, &server.region, &self.members.load())
     }
 
     /// Sends a message to the watcher of its server. Where there is none, or its inbox is full, the message
--- a/crates/router/src/watcher.rs
+++ b/crates/router/src/watcher.rs
@@ -18,7 +18,7 @@
     HeldReport, LedgerAction, LedgerCounters, LedgerSettings, Role, SlotMessage, Watcher,
 };
 use hibiscusvale_core::units::{Micros, Millis, MonoTime};
-use hibiscusvale_core::watch::{is_watched_here, watcher_in};
+use hibiscusvale_core::watch::{is_watched_here, watcher_with_fallback};
 use tokio::sync::{mpsc, watch};
 use tokio::time::MissedTickBehavior;
 
@@ -217,7 +217,7 @@
             self.arrange(now_us, server, &view, &others);
             watchers.insert(
                 server.id.clone(),
-                watcher_in(&server.id, &server.data_centre, &server.region, &view),
+                watcher_with_fallback(&server.id, &server.data_centre, &server.region, &view),
             );
         }
         self.close_unlisted(now_us, &watchers);
--- a/crates/router/tests/ops/config.rs
+++ b/crates/router/tests/ops/config.rs
@@ -121,7 +121,7 @@
 fn relayed(offset: u64, bytes: &[u8]) -> ConfigFeed {
     ConfigFeed::Records(vec![ConfigRecord {
         offset: Offset(offset),
-        data: RecordData::Whole(Arc::from(bytes)),
+        data: RecordData::Full(Arc::from(bytes)),
     }])
 }
 
@@ -202,7 +202,7 @@
     let SpreadEvent::LogRecords(records) = first else {
         panic!("expected the record, got {first:?}");
     };
-    assert_eq!(records, [ConfigRecord { offset: Offset(0), data: RecordData::Whole(Arc::from(record)) }]);
+    assert_eq!(records, [ConfigRecord { offset: Offset(0), data: RecordData::Full(Arc::from(record)) }]);
 }
 
 /// Records expire after a while. If nobody wrote the state again, a new host would find an empty log.
--- a/crates/standins/src/slopes/virtual_time.rs
+++ b/crates/standins/src/slopes/virtual_time.rs
@@ -7,11 +7,11 @@
 use std::fs;
 
 use hibiscusvale_core::ids::Offset;
-use hibiscusvale_core::spread::{ModelLoad, ModelTag, ServerSign, SpreadEvent};
+use hibiscusvale_core::spread::{ModelLoad, ModelTag, ServerStatus, SpreadEvent};
 use hibiscusvale_core::units::Millis;
 
 use crate::fit::Line;
-use crate::harness::Net;
+use crate::harness::Network;
 
 const CHANGE_BYTES: usize = 300;
 /// 65,000 changes a day are one every 1.33 s.
@@ -83,9 +83,9 @@
 
 fn measure_one(data_centres: usize, hosts: usize) -> Row {
     let memory_before = crate::procs::memory_bytes("self");
-    let mut net = Net::new(data_centres, hosts, 1);
+    let mut net = Network::new(data_centres, hosts, 1);
     net.start_all();
-    let cold_start = net.run_until(SETTLE, Net::agrees).unwrap_or(SETTLE);
+    let cold_start = net.run_until(SETTLE, Network::has_converged).unwrap_or(SETTLE);
     // A steady state has no newcomers that introduce themselves.
     net.run(Millis(20_000));
 
@@ -107,7 +107,7 @@
     let memory = crate::procs::memory_bytes("self").saturating_sub(memory_before);
     let wrong_deaths = net.total(|daemon| daemon.membership.counts().died);
     net.kill(hosts - 1);
-    let death = net.run_until(DEATH_LIMIT, Net::agrees).unwrap_or(DEATH_LIMIT);
+    let death = net.run_until(DEATH_LIMIT, Network::has_converged).unwrap_or(DEATH_LIMIT);
     in_force_ms.sort_unstable();
     Row {
         data_centres,
@@ -126,7 +126,7 @@
 }
 
 /// Publishes changes at the target's rate and returns how long each took to be in force everywhere.
-fn publish(net: &mut Net, daemons: usize) -> Vec<u64> {
+fn publish(net: &mut Network, daemons: usize) -> Vec<u64> {
     for number in 0..daemons {
         let models = (0..MODELS).map(|model| ModelLoad {
             model: ModelTag([model; 4]),
@@ -146,17 +146,17 @@
     times
 }
 
-fn see_sign(net: &mut Net, change: u64, daemons: usize) {
+fn see_sign(net: &mut Network, change: u64, daemons: usize) {
     let server = format!("replica-{change}").parse();
     let number = usize::try_from(change).unwrap_or_default() % daemons;
     if let Ok(server) = server {
-        let sign = ServerSign::Leaving;
-        net.spread_event(number, SpreadEvent::Saw { server, sign });
+        let status = ServerStatus::Leaving;
+        net.spread_event(number, SpreadEvent::Observed { server, status });
     }
 }
 
 /// Waits until the change is in force everywhere, and out the time to the next one.
-fn time_in_force(net: &mut Net, offset: Offset) -> u64 {
+fn time_in_force(net: &mut Network, offset: Offset) -> u64 {
     let start_us = net.now_us;
     let took = net.run_until(IN_FORCE_LIMIT, |net| net.has_in_force(offset));
     let passed_ms = (net.now_us - start_us) / 1_000;
