--- a/crates/router/src/backend/engine.rs
+++ b/crates/router/src/backend/engine.rs
@@ -1,4 +1,4 @@
-//! The edge towards model engines: what is asked of them, what they answer, and how a call can fail.
+//! Client interface to model engines: calls, replies and failures.
 
 use std::fmt;
 use std::fmt::Debug;
@@ -13,14 +13,14 @@
 use hibiscusvale_core::units::{Bytes as ByteCount, BytesPerSecond, Millis, Tokens};
 use serde::{Deserialize, Serialize};
 
-use super::http::{CallFailure, Trust};
+use super::http::{CallFailure, ConnectionReuse};
 
-/// The daemon's life on whose behalf an engine holds memory.
+/// The daemon incarnation for which an engine holds memory.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct Owner {
     /// The daemon's host.
     pub host: HostId,
-    /// Its life, as text.
+    /// The daemon's incarnation, as text on the wire.
     #[serde(with = "incarnation_text")]
     pub incarnation: Incarnation,
 }
@@ -44,101 +44,101 @@
     }
 }
 
-/// Memory that is to be released.
+/// Engine memory that is to be released.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Held {
-    /// The try that holds it.
+pub struct HeldMemory {
+    /// The attempt that holds the memory.
     pub attempt_id: AttemptId,
-    /// The daemon's life on whose behalf, where it is not the present one.
+    /// The daemon incarnation that holds it; `None` for the current one.
     pub owner: Option<Owner>,
 }
 
-impl Held {
-    /// Memory held on behalf of the present life.
+impl HeldMemory {
+    /// Memory held for the current incarnation.
     pub fn own(attempt_id: AttemptId) -> Self {
         Self { attempt_id, owner: None }
     }
 }
 
-/// Reads a prompt and holds its KV cache for export.
+/// Prefills a prompt and holds its KV cache for export.
 #[derive(Clone, Debug)]
 pub struct PrefillCall {
-    /// The try.
+    /// Identifies the attempt.
     pub attempt_id: AttemptId,
-    /// The prompt.
+    /// The prompt as the engine reads it.
     pub prompt: Bytes,
-    /// What an earlier try has generated behind it.
+    /// Text that an earlier attempt generated after the prompt.
     pub generated: String,
-    /// The model.
+    /// The requested model.
     pub model: ModelId,
-    /// Smaller goes first.
+    /// Lower values are served first.
     pub priority: u8,
-    /// How long to wait for the result.
+    /// Time-out of the call.
     pub timeout_ms: Millis,
 }
 
-/// A prompt that has been read.
+/// Result of a prefill.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Prefilled {
-    /// Its length.
+    /// Length of the prompt.
     pub prompt_tokens: Tokens,
-    /// How much of it came from the prefix cache.
+    /// Tokens of the prompt that came from the prefix cache.
     pub cached_tokens: Tokens,
     /// Size of the KV cache to be transferred.
     pub kv_bytes: ByteCount,
-    /// When the engine evicts it unless it is imported.
+    /// Time after which the engine evicts the KV cache unless it is imported.
     pub evict_after_ms: Millis,
 }
 
-/// Takes a slot and copies the KV cache from the engine that read the prompt.
+/// Takes a decode slot and copies the KV cache from the engine that prefilled the prompt.
 #[derive(Clone, Debug)]
 pub struct ImportCall {
-    /// The try.
+    /// Identifies the attempt.
     pub attempt_id: AttemptId,
-    /// The model.
+    /// The requested model.
     pub model: ModelId,
-    /// The engine that read the prompt.
+    /// The engine that prefilled the prompt.
     pub source: SocketAddr,
-    /// Smaller goes first.
+    /// Lower values are served first.
     pub priority: u8,
-    /// Share of the link that the transfer may take.
+    /// Bandwidth that the transfer may use.
     pub rate_bytes_per_s: BytesPerSecond,
-    /// How long to wait for the copy.
+    /// Time-out of the call.
     pub timeout_ms: Millis,
 }
 
-/// A KV cache that has been copied.
+/// Result of a KV cache transfer.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Imported {
-    /// Its size.
+    /// Size of the KV cache.
     pub kv_bytes: ByteCount,
-    /// Time that the copy took.
+    /// Duration of the transfer.
     pub transfer_ms: Millis,
 }
 
 /// Starts or resumes a token stream.
 #[derive(Clone, Debug)]
 pub struct DecodeCall {
-    /// The try.
+    /// Identifies the attempt.
     pub attempt_id: AttemptId,
-    /// Where the answer ends at the latest.
+    /// Upper bound of the answer's length.
     pub max_tokens: Tokens,
-    /// First token wanted.
+    /// Index of the first token to send.
     pub from_index: u64,
 }
 
-/// What an engine says of itself; it lags.
+/// An engine's load report; it lags behind the engine's state.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EngineLoad {
     /// Age of the report.
     pub as_of_ms_ago: Millis,
-    /// All decode slots.
+    /// Number of decode slots.
     #[serde(default)]
     pub slots_total: u32,
-    /// Slots taken.
+    /// Number of occupied decode slots.
     #[serde(default)]
     pub slots_used: u32,
-    /// Prompt tokens waiting to be read.
+    /// Prompt tokens queued for prefill.
     #[serde(default)]
     pub prefill_queue_tokens: Tokens,
     /// Models that are loaded.
@@ -152,50 +152,50 @@
 /// Engine memory held for one request.
 #[derive(Clone, Debug, Deserialize)]
 pub struct HeldRequest {
-    /// The request, as text.
+    /// The attempt's id, as text.
     pub request_id: String,
-    /// On whose behalf.
+    /// The daemon incarnation that holds it.
     pub owner: Owner,
-    /// How far it has come.
+    /// Stage of the request on the engine; [`HeldStage::Other`] when absent.
     #[serde(default)]
     pub stage: HeldStage,
 }
 
-/// How far a request has come on an engine.
+/// Stage of a request on an engine.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HeldStage {
-    /// Its prompt is read or waits for that.
+    /// The prompt is queued or being prefilled.
     Prefill,
-    /// Its KV cache waits for export.
+    /// The KV cache waits for export.
     Exported,
-    /// Its KV cache is being copied.
+    /// The KV cache is being transferred.
     Transfer,
-    /// It holds a decode slot.
+    /// The request holds a decode slot.
     Decode,
-    /// Something else.
+    /// A stage that this daemon does not know.
     #[default]
     #[serde(other)]
     Other,
 }
 
-/// News of an engine's prefix cache; late and with gaps.
+/// Page of events of an engine's prefix cache. Events arrive late, and some are lost.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct CachePage {
     /// The events, oldest first.
     pub events: Vec<CacheChange>,
-    /// Where to go on.
+    /// Sequence number from which to read the next page.
     pub next_seq: u64,
 }
 
 /// One event of a prefix cache.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct CacheChange {
-    /// Its number; a gap means that events are lost.
+    /// Sequence number; a gap means that events were lost.
     pub seq: u64,
     /// What happened to the block.
     pub kind: CacheChangeKind,
-    /// The block, named by the hash of the prompt up to its end.
+    /// The block, identified by the hash of the prompt up to its end.
     #[serde(with = "block_text")]
     pub block: u64,
 }
@@ -204,9 +204,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CacheChangeKind {
-    /// It can be used from now on.
+    /// The block was stored and can be used.
     Stored,
-    /// It is gone.
+    /// The block was evicted.
     Evicted,
 }
 
@@ -224,13 +224,13 @@
 /// Why a call to an engine failed.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, thiserror::Error)]
 pub enum EngineFailure {
-    /// The call did not come through.
+    /// The HTTP call failed.
     #[error(transparent)]
     Call(#[from] CallFailure),
     /// The engine has no room.
     #[error("engine has no room")]
     NoRoom,
-    /// The engine is leaving and takes no new work.
+    /// The engine is leaving and accepts no new work.
     #[error("engine is leaving")]
     Leaving,
     /// The engine no longer holds what the call needs.
@@ -239,7 +239,7 @@
     /// The engine does not serve the model.
     #[error("engine does not serve the model")]
     NoModel,
-    /// Any other refusal.
+    /// Any other refusal, with its HTTP status.
     #[error("engine refused with status {0}")]
     Refused(u16),
 }
@@ -248,38 +248,38 @@
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize)]
 #[serde(untagged)]
 pub enum StreamPart {
-    /// The end: all tokens have been sent.
+    /// End of the stream: all tokens have been sent.
     Done {
         /// Always true.
         done: bool,
-        /// Tokens in the whole answer.
+        /// Number of tokens in the complete answer.
         tokens: u64,
     },
     /// One token.
     Token {
-        /// Its place in the answer.
+        /// Position in the answer, from zero.
         index: u64,
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
 }
 
-/// The edge towards model engines.
-pub trait EngineEdge: Debug + Send + Sync + 'static {
-    /// Reads a prompt. May be asked again for the same request.
+/// Client for model engines.
+pub trait EngineClient: Debug + Send + Sync + 'static {
+    /// Prefills a prompt. May be repeated for the same request.
     fn prefill(
         &self,
         to: SocketAddr,
         call: PrefillCall,
-        trust: Trust,
+        reuse: ConnectionReuse,
     ) -> BoxFuture<'_, Result<Prefilled, EngineFailure>>;
 
-    /// Copies a KV cache and takes a slot. May be asked again for the same request.
+    /// Copies a KV cache and takes a slot. May be repeated for the same request.
     fn import(
         &self,
         to: SocketAddr,
         call: ImportCall,
-        trust: Trust,
+        reuse: ConnectionReuse,
     ) -> BoxFuture<'_, Result<Imported, EngineFailure>>;
 
     /// Starts or resumes a token stream.
@@ -287,32 +287,33 @@
         &self,
         to: SocketAddr,
         call: DecodeCall,
-        trust: Trust,
+        reuse: ConnectionReuse,
     ) -> BoxFuture<'_, Result<TokenStream, EngineFailure>>;
 
-    /// Releases what is held for one request; `Ok` is the engine's confirmation.
-    fn cancel(&self, to: SocketAddr, held: Held) -> BoxFuture<'_, Result<(), EngineFailure>>;
+    /// Releases what is held for one request; `Ok` means that the engine has confirmed it.
+    fn cancel(&self, to: SocketAddr, held: HeldMemory) -> BoxFuture<'_, Result<(), EngineFailure>>;
 
-    /// Releases all that a daemon's life holds; `Ok` is the engine's confirmation.
+    /// Releases everything that a daemon incarnation holds; `Ok` means that the engine has confirmed it.
     fn cancel_owner(&self, to: SocketAddr, owner: Owner) -> BoxFuture<'_, Result<(), EngineFailure>>;
 
-    /// Asks for the load report.
+    /// Fetches the load report.
     fn load(&self, to: SocketAddr) -> BoxFuture<'_, Result<EngineLoad, EngineFailure>>;
 
-    /// Asks for the events of the prefix cache behind `after`.
+    /// Fetches the events of the prefix cache after sequence number `after`.
     fn cache_events(&self, to: SocketAddr, after: u64) -> BoxFuture<'_, Result<CachePage, EngineFailure>>;
 
-    /// Orders an engine to load a model or to change role; carried out once under the order's id.
+    /// Orders an engine to load or unload a model or to change its role. The engine carries out an order at
+    /// most once, by its id.
     fn order(&self, to: SocketAddr, order: Order) -> BoxFuture<'_, Result<OrderOutcome, EngineFailure>>;
 }
 
-/// Tokens as the engine sends them. Dropping it ends the call; reading slowly slows the engine down.
+/// Token stream of an engine. Dropping it ends the call; reading slowly slows the engine down.
 pub struct TokenStream {
     parts: BoxStream<'static, Result<StreamPart, CallFailure>>,
 }
 
 impl TokenStream {
-    /// Wraps the parts of a stream; its end without [`StreamPart::Done`] counts as broken.
+    /// Wraps the parts of a stream; an end without [`StreamPart::Done`] counts as broken.
     pub fn new<Parts>(parts: Parts) -> Self
     where
         Parts: Stream<Item = Result<StreamPart, CallFailure>> + Send + 'static,
@@ -320,14 +321,14 @@
         Self { parts: parts.boxed() }
     }
 
-    /// Waits up to `patience` for the next part.
+    /// Waits up to `timeout` for the next part.
     ///
     /// # Errors
     ///
-    /// [`CallFailure::Timeout`] when nothing came, [`CallFailure::Broken`] when the stream ended without its
-    /// closing part, or what the edge met.
-    pub async fn next(&mut self, patience: Duration) -> Result<StreamPart, CallFailure> {
-        match tokio::time::timeout(patience, self.parts.next()).await {
+    /// [`CallFailure::Timeout`] when no part arrived, [`CallFailure::Broken`] when the stream ended without
+    /// [`StreamPart::Done`], or the failure that the stream itself reported.
+    pub async fn next(&mut self, timeout: Duration) -> Result<StreamPart, CallFailure> {
+        match tokio::time::timeout(timeout, self.parts.next()).await {
             Ok(Some(part)) => part,
             Ok(None) => Err(CallFailure::Broken),
             Err(_elapsed) => Err(CallFailure::Timeout),
--- a/crates/router/src/backend/engine_http.rs
+++ b/crates/router/src/backend/engine_http.rs
@@ -1,4 +1,4 @@
-//! Calls to model engines by HTTP. The shapes are stated in `docs/INTERFACES.md`.
+//! HTTP client for model engines. The messages are specified in `docs/INTERFACES.md`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,33 +16,34 @@
 use serde::de::{DeserializeOwned, IgnoredAny};
 
 use super::engine::{
-    CachePage, DecodeCall, EngineEdge, EngineFailure, EngineLoad, Held, ImportCall, Imported, Owner,
+    CachePage, DecodeCall, EngineClient, EngineFailure, EngineLoad, HeldMemory, ImportCall, Imported, Owner,
     PrefillCall, Prefilled, StreamPart, TokenStream,
 };
-use super::http::{BackendHttp, CallFailure, Trust, read_body, uri};
+use super::http::{BackendHttp, CallFailure, ConnectionReuse, read_body, uri};
 
-/// Largest answer of an engine that is not a stream: the load report of an engine that holds some hundreds of
-/// requests is a few ten thousand bytes.
-const REPLY_LIMIT_BYTES: usize = 1 << 20;
+/// Largest reply of an engine that is not a stream. The load report of an engine that holds some hundreds of
+/// requests takes a few ten thousand bytes.
+const MAX_REPLY_BYTES: usize = 1 << 20;
 
 /// Longest line of a token stream.
-const LINE_LIMIT_BYTES: usize = 64 << 10;
+const MAX_LINE_BYTES: usize = 64 << 10;
 
-/// Status with which an engine refuses an old fencing number.
-const CONFLICT: u16 = 409;
+/// HTTP status with which an engine refuses an outdated fencing number.
+const FENCED_STATUS: u16 = 409;
 
-/// An engine asked to cancel, or for its load, answers at once or is in trouble.
-const SHORT_CALL: Duration = Duration::from_millis(1_500);
+/// Time-out of calls that an engine answers at once unless it is in trouble, such as a cancellation or a
+/// load report.
+const SHORT_CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// [`EngineEdge`] by HTTP.
+/// [`EngineClient`] over HTTP.
 #[derive(Clone, Debug)]
-pub struct HttpEngines {
+pub struct HttpEngineClient {
     http: BackendHttp,
     owner: Owner,
 }
 
-impl HttpEngines {
-    /// Makes the edge of the daemon life `owner`.
+impl HttpEngineClient {
+    /// Creates a client that acts for the daemon incarnation `owner`.
     pub fn new(http: BackendHttp, owner: Owner) -> Self {
         Self { http, owner }
     }
@@ -52,7 +53,7 @@
         to: SocketAddr,
         path: &str,
         body: &Body,
-        trust: Trust,
+        reuse: ConnectionReuse,
         timeout: Duration,
     ) -> Result<Incoming, EngineFailure>
     where
@@ -65,32 +66,32 @@
             .header(header::CONTENT_TYPE, "application/json")
             .body(Full::new(Bytes::from(encoded)))
             .map_err(|_| CallFailure::Malformed)?;
-        let response = self.http.send(trust, request, timeout).await?;
-        match failure_of(response.status()) {
+        let response = self.http.send(reuse, request, timeout).await?;
+        match failure_from_status(response.status()) {
             None => Ok(response.into_body()),
             Some(failure) => Err(failure),
         }
     }
 
-    async fn ask<Body, Reply>(
+    async fn post_json<Body, Reply>(
         &self,
         to: SocketAddr,
         path: &str,
         body: &Body,
-        trust: Trust,
+        reuse: ConnectionReuse,
         timeout: Duration,
     ) -> Result<Reply, EngineFailure>
     where
         Body: Serialize + Sync,
         Reply: DeserializeOwned,
     {
-        let incoming = self.post(to, path, body, trust, timeout).await?;
-        parse(&read_body(incoming, REPLY_LIMIT_BYTES, SHORT_CALL).await?)
+        let incoming = self.post(to, path, body, reuse, timeout).await?;
+        parse(&read_body(incoming, MAX_REPLY_BYTES, SHORT_CALL_TIMEOUT).await?)
     }
 }
 
-impl HttpEngines {
-    async fn read<Reply>(&self, to: SocketAddr, path: String) -> Result<Reply, EngineFailure>
+impl HttpEngineClient {
+    async fn get_json<Reply>(&self, to: SocketAddr, path: String) -> Result<Reply, EngineFailure>
     where
         Reply: DeserializeOwned,
     {
@@ -98,11 +99,11 @@
             .uri(uri(to, &path)?)
             .body(Full::default())
             .map_err(|_| CallFailure::Malformed)?;
-        let response = self.http.send(Trust::Pooled, request, SHORT_CALL).await?;
-        if let Some(failure) = failure_of(response.status()) {
+        let response = self.http.send(ConnectionReuse::Pooled, request, SHORT_CALL_TIMEOUT).await?;
+        if let Some(failure) = failure_from_status(response.status()) {
             return Err(failure);
         }
-        parse(&read_body(response.into_body(), REPLY_LIMIT_BYTES, SHORT_CALL).await?)
+        parse(&read_body(response.into_body(), MAX_REPLY_BYTES, SHORT_CALL_TIMEOUT).await?)
     }
 }
 
@@ -113,7 +114,7 @@
     serde_json::from_slice(bytes).map_err(|_| CallFailure::Malformed.into())
 }
 
-fn failure_of(status: StatusCode) -> Option<EngineFailure> {
+fn failure_from_status(status: StatusCode) -> Option<EngineFailure> {
     match status {
         StatusCode::OK => None,
         StatusCode::TOO_MANY_REQUESTS => Some(EngineFailure::NoRoom),
@@ -179,12 +180,12 @@
     owner: &'a Owner,
 }
 
-impl EngineEdge for HttpEngines {
+impl EngineClient for HttpEngineClient {
     fn prefill(
         &self,
         to: SocketAddr,
         call: PrefillCall,
-        trust: Trust,
+        reuse: ConnectionReuse,
     ) -> BoxFuture<'_, Result<Prefilled, EngineFailure>> {
         Box::pin(async move {
             let prompt = std::str::from_utf8(&call.prompt).map_err(|_| CallFailure::Malformed)?;
@@ -196,7 +197,7 @@
                 generated: &call.generated,
                 priority: call.priority,
             };
-            self.ask(to, "/engine/prefill", &body, trust, call.timeout_ms.into()).await
+            self.post_json(to, "/engine/prefill", &body, reuse, call.timeout_ms.into()).await
         })
     }
 
@@ -204,7 +205,7 @@
         &self,
         to: SocketAddr,
         call: ImportCall,
-        trust: Trust,
+        reuse: ConnectionReuse,
     ) -> BoxFuture<'_, Result<Imported, EngineFailure>> {
         Box::pin(async move {
             let body = ImportBody {
@@ -215,7 +216,7 @@
                 priority: call.priority,
                 rate_bytes_per_s: call.rate_bytes_per_s,
             };
-            self.ask(to, "/engine/import", &body, trust, call.timeout_ms.into()).await
+            self.post_json(to, "/engine/import", &body, reuse, call.timeout_ms.into()).await
         })
     }
 
@@ -223,7 +224,7 @@
         &self,
         to: SocketAddr,
         call: DecodeCall,
-        trust: Trust,
+        reuse: ConnectionReuse,
     ) -> BoxFuture<'_, Result<TokenStream, EngineFailure>> {
         Box::pin(async move {
             let body = DecodeBody {
@@ -232,17 +233,19 @@
                 max_tokens: call.max_tokens,
                 from_index: call.from_index,
             };
-            let incoming = self.post(to, "/engine/decode", &body, trust, SHORT_CALL).await?;
-            Ok(TokenStream::new(parts(incoming)))
+            let incoming = self.post(to, "/engine/decode", &body, reuse, SHORT_CALL_TIMEOUT).await?;
+            Ok(TokenStream::new(stream_parts(incoming)))
         })
     }
 
-    fn cancel(&self, to: SocketAddr, held: Held) -> BoxFuture<'_, Result<(), EngineFailure>> {
+    fn cancel(&self, to: SocketAddr, held: HeldMemory) -> BoxFuture<'_, Result<(), EngineFailure>> {
         Box::pin(async move {
             let owner = held.owner.as_ref().unwrap_or(&self.owner);
             let body = CancelBody { request_id: held.attempt_id.to_string(), owner };
-            // That it answered is the confirmation; how much it released is of no consequence.
-            let IgnoredAny = self.ask(to, "/engine/cancel", &body, Trust::Fresh, SHORT_CALL).await?;
+            // Any reply is the confirmation; how much was released does not matter.
+            let IgnoredAny = self
+                .post_json(to, "/engine/cancel", &body, ConnectionReuse::Fresh, SHORT_CALL_TIMEOUT)
+                .await?;
             Ok(())
         })
     }
@@ -250,18 +253,20 @@
     fn cancel_owner(&self, to: SocketAddr, owner: Owner) -> BoxFuture<'_, Result<(), EngineFailure>> {
         Box::pin(async move {
             let body = CancelOwnerBody { owner: &owner };
-            // That it answered is the confirmation; how much it released is of no consequence.
-            let IgnoredAny = self.ask(to, "/engine/cancel_owner", &body, Trust::Fresh, SHORT_CALL).await?;
+            // Any reply is the confirmation; how much was released does not matter.
+            let IgnoredAny = self
+                .post_json(to, "/engine/cancel_owner", &body, ConnectionReuse::Fresh, SHORT_CALL_TIMEOUT)
+                .await?;
             Ok(())
         })
     }
 
     fn load(&self, to: SocketAddr) -> BoxFuture<'_, Result<EngineLoad, EngineFailure>> {
-        Box::pin(self.read(to, "/engine/load".to_owned()))
+        Box::pin(self.get_json(to, "/engine/load".to_owned()))
     }
 
     fn cache_events(&self, to: SocketAddr, after: u64) -> BoxFuture<'_, Result<CachePage, EngineFailure>> {
-        Box::pin(self.read(to, format!("/engine/cache_events?after={after}")))
+        Box::pin(self.get_json(to, format!("/engine/cache_events?after={after}")))
     }
 
     fn order(&self, to: SocketAddr, order: Order) -> BoxFuture<'_, Result<OrderOutcome, EngineFailure>> {
@@ -277,9 +282,9 @@
                     OrderKind::BecomeDecode => OrderKindBody::Role("decode"),
                 },
             };
-            match self.post(to, "/engine/order", &body, Trust::Fresh, SHORT_CALL).await {
+            match self.post(to, "/engine/order", &body, ConnectionReuse::Fresh, SHORT_CALL_TIMEOUT).await {
                 Ok(_) => Ok(OrderOutcome::Applied),
-                Err(EngineFailure::Refused(CONFLICT)) => Ok(OrderOutcome::Fenced),
+                Err(EngineFailure::Refused(FENCED_STATUS)) => Ok(OrderOutcome::Fenced),
                 Err(EngineFailure::Gone) => Ok(OrderOutcome::Expired),
                 Err(failure) => Err(failure),
             }
@@ -287,8 +292,8 @@
     }
 }
 
-/// The parts of a stream, one line of JSON each.
-fn parts(incoming: Incoming) -> impl Stream<Item = Result<StreamPart, CallFailure>> {
+/// Splits a stream into parts, one line of JSON each.
+fn stream_parts(incoming: Incoming) -> impl Stream<Item = Result<StreamPart, CallFailure>> {
     stream::try_unfold((incoming, BytesMut::new()), |(mut incoming, mut buffer)| async move {
         Ok(next_part(&mut incoming, &mut buffer).await?.map(|part| (part, (incoming, buffer))))
     })
@@ -303,7 +308,7 @@
             let line = buffer.split_to(end + 1);
             return serde_json::from_slice(&line).map(Some).map_err(|_| CallFailure::Malformed);
         }
-        if buffer.len() > LINE_LIMIT_BYTES {
+        if buffer.len() > MAX_LINE_BYTES {
             return Err(CallFailure::Malformed);
         }
         let Some(frame) = incoming.frame().await else {
--- a/crates/router/src/backend/http.rs
+++ b/crates/router/src/backend/http.rs
@@ -1,4 +1,4 @@
-//! HTTP calls to backend servers, and what a failed call proves.
+//! HTTP client for backend servers. Failures are classified by what they prove about the request.
 
 use std::future::{Ready, ready};
 use std::net::SocketAddr;
@@ -16,55 +16,57 @@
 use tower::util::AndThen;
 use tower::{BoxError, ServiceExt};
 
-/// A host that does not answer a connection attempt within this is as good as gone: the slowest link inside
-/// a region takes 3 ms, between regions some 300 ms.
+/// Time-out of a connection attempt. The slowest link takes 3 ms within a region and some 300 ms between
+/// regions, so a host that takes longer is treated as unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// A pooled connection idle for longer is closed. What sits between two ends forgets idle connections
-/// silently, and a request written into such a one is never answered; a short life makes that rare.
-const POOL_IDLE: Duration = Duration::from_secs(2);
+/// Idle time after which a pooled connection is closed. Middleboxes silently drop the state of idle
+/// connections, and a request sent on such a connection is never answered; a short idle time makes that
+/// rare.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Silence on a connection after which the system probes it, and between probes.
-const SILENCE_PROBE: Duration = Duration::from_secs(1);
+/// Silence on a connection after which the operating system sends a keepalive probe, and the interval
+/// between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Probes without an answer after which the connection counts as broken: three lost packets in a row are rare on
-/// a link that loses three in a hundred.
-const SILENCE_PROBES: u32 = 3;
+/// Unanswered probes after which a connection counts as broken: three lost packets in a row are rare on a
+/// link that loses three in a hundred.
+const KEEPALIVE_RETRIES: u32 = 3;
 
-/// Why a call failed, sorted by what is known of its effect.
+/// Why a call failed, by what is known about its effect.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, thiserror::Error)]
 pub enum CallFailure {
-    /// No connection came about, so no byte was written: the request did not run.
+    /// No connection was established, so no byte was written: the request did not run.
     #[error("no connection")]
     NotSent,
     /// The connection broke after the request may have been written.
     #[error("connection broken")]
     Broken,
-    /// No answer in time.
-    #[error("no answer in time")]
+    /// No answer arrived within the time-out.
+    #[error("no answer within the time-out")]
     Timeout,
-    /// An answer that does not fit the interface.
-    #[error("answer not understood")]
+    /// The answer does not conform to the interface.
+    #[error("malformed answer")]
     Malformed,
 }
 
-/// Which connection a call may take.
+/// Which connection a call may use.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Trust {
-    /// Any idle connection. For calls that may be asked again.
+pub enum ConnectionReuse {
+    /// Any idle connection. For calls that may be repeated.
     Pooled,
-    /// A connection of its own. For calls that may not be repeated, and for asking again when a pooled
+    /// A new connection. For calls that must not be repeated, and for repeating a call when a pooled
     /// connection may have gone silent.
     Fresh,
 }
 
-/// A connection, or why it cannot be used.
-type Opened = Ready<Result<TokioIo<TcpStream>, BoxError>>;
+/// A connection, or the reason why it cannot be used.
+type ConnectResult = Ready<Result<TokioIo<TcpStream>, BoxError>>;
 
 /// Opens connections that are reset when they are closed.
-type ResettingConnector = AndThen<HttpConnector, fn(TokioIo<TcpStream>) -> Opened>;
+type ResettingConnector = AndThen<HttpConnector, fn(TokioIo<TcpStream>) -> ConnectResult>;
 
-/// HTTP client towards backend servers.
+/// HTTP client for backend servers.
 #[derive(Clone, Debug)]
 pub struct BackendHttp {
     pooled: Client<ResettingConnector, Full<Bytes>>,
@@ -78,30 +80,30 @@
 }
 
 impl BackendHttp {
-    /// Makes a client with an empty pool.
+    /// Creates a client with an empty pool.
     pub fn new() -> Self {
         Self::with_connect_timeout(CONNECT_TIMEOUT)
     }
 
-    /// Makes a client that gives a connection attempt up after `limit`.
+    /// Creates a client whose connection attempts time out after `limit`.
     pub fn with_connect_timeout(limit: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(limit));
         connector.set_nodelay(true);
-        // A connection that went silent for good while its host lives shows in nothing else: a request or a
-        // stream on it would wait until the caller's patience is over.
-        connector.set_keepalive(Some(SILENCE_PROBE));
-        connector.set_keepalive_interval(Some(SILENCE_PROBE));
-        connector.set_keepalive_retries(Some(SILENCE_PROBES));
-        connector.set_tcp_user_timeout(Some(SILENCE_PROBE * SILENCE_PROBES));
+        // A connection that has gone silent while its host is alive shows no other symptom: a request or a
+        // stream on it would wait for the full time-out.
+        connector.set_keepalive(Some(KEEPALIVE_INTERVAL));
+        connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
+        connector.set_keepalive_retries(Some(KEEPALIVE_RETRIES));
+        connector.set_tcp_user_timeout(Some(KEEPALIVE_INTERVAL * KEEPALIVE_RETRIES));
         let connector = connector.and_then(reset_on_close as fn(_) -> _);
         let build = |idle_connections: usize| {
             Client::builder(TokioExecutor::new())
                 .pool_timer(TokioTimer::new())
-                .pool_idle_timeout(POOL_IDLE)
+                .pool_idle_timeout(POOL_IDLE_TIMEOUT)
                 .pool_max_idle_per_host(idle_connections)
-                // The library would send a request again that a closing connection may have carried.
-                // Only this project's own rules may repeat a request.
+                // The library would repeat a request that a closing connection may have delivered. Only the
+                // router's own rules may repeat a request.
                 .retry_canceled_requests(false)
                 .build(connector.clone())
         };
@@ -115,13 +117,13 @@
     /// A [`CallFailure`]; only [`CallFailure::NotSent`] proves that the request did not run.
     pub async fn send(
         &self,
-        trust: Trust,
+        reuse: ConnectionReuse,
         request: Request<Full<Bytes>>,
         timeout: Duration,
     ) -> Result<Response<Incoming>, CallFailure> {
-        let client = match trust {
-            Trust::Pooled => &self.pooled,
-            Trust::Fresh => &self.fresh,
+        let client = match reuse {
+            ConnectionReuse::Pooled => &self.pooled,
+            ConnectionReuse::Fresh => &self.fresh,
         };
         match tokio::time::timeout(timeout, client.request(request)).await {
             Ok(Ok(response)) => Ok(response),
@@ -131,55 +133,55 @@
         }
     }
 
-    /// As [`Self::send`], and tells which connection carried it.
+    /// Like [`Self::send`], and also returns the connection that carried the request.
     ///
     /// # Errors
     ///
-    /// As [`Self::send`].
-    pub async fn send_known(
+    /// As for [`Self::send`].
+    pub async fn send_tracked(
         &self,
-        trust: Trust,
+        reuse: ConnectionReuse,
         mut request: Request<Full<Bytes>>,
         timeout: Duration,
-    ) -> Result<KnownReply, CallFailure> {
+    ) -> Result<TrackedReply, CallFailure> {
         let connection = capture_connection(&mut request);
-        let response = self.send(trust, request, timeout).await?;
-        Ok(KnownReply { response, connection })
+        let response = self.send(reuse, request, timeout).await?;
+        Ok(TrackedReply { response, connection })
     }
 }
 
-/// Has the system discard what was not delivered when a connection is closed.
+/// Makes the operating system discard undelivered data when a connection is closed.
 ///
-/// A call that is given up closes its connection. Closed in the usual way, the system goes on sending the request for
-/// as long as it takes: one that was held up by a cut link reaches its server seconds after its caller was told that
-/// it has not run, and after the server has said that it leaves. A reset discards it.
-fn reset_on_close(connection: TokioIo<TcpStream>) -> Opened {
-    let set = SockRef::from(connection.inner()).set_linger(Some(Duration::ZERO));
-    ready(set.map(|()| connection).map_err(BoxError::from))
+/// A call that times out closes its connection. After an ordinary close the system keeps sending the request
+/// for as long as it takes: one that was held up by a cut link reaches its server seconds after its caller
+/// was told that it has not run, and after the server has said that it is leaving. A reset discards it.
+fn reset_on_close(connection: TokioIo<TcpStream>) -> ConnectResult {
+    let lingering = SockRef::from(connection.inner()).set_linger(Some(Duration::ZERO));
+    ready(lingering.map(|()| connection).map_err(BoxError::from))
 }
 
-/// An answer, and the connection that it came on.
+/// An answer together with the connection that it arrived on.
 #[derive(Debug)]
-pub struct KnownReply {
-    /// The answer's head; its body is yet to be read.
+pub struct TrackedReply {
+    /// Head of the answer; the body has not been read.
     pub response: Response<Incoming>,
     connection: CaptureConnection,
 }
 
-impl KnownReply {
-    /// Keeps the connection from being used again: what comes on it may belong to another request.
-    pub fn distrust(&self) {
+impl TrackedReply {
+    /// Keeps the connection out of the pool, because further data on it may belong to another request.
+    pub fn prevent_reuse(&self) {
         if let Some(connection) = self.connection.connection_metadata().as_ref() {
             connection.poison();
         }
     }
 }
 
-/// Reads a whole body of at most `limit_bytes`.
+/// Reads a complete body of at most `limit_bytes`.
 ///
 /// # Errors
 ///
-/// [`CallFailure::Timeout`], or [`CallFailure::Broken`] when it ends early or is larger.
+/// [`CallFailure::Timeout`], or [`CallFailure::Broken`] when the body ends early or is larger.
 pub async fn read_body(body: Incoming, limit_bytes: usize, timeout: Duration) -> Result<Bytes, CallFailure> {
     match tokio::time::timeout(timeout, Limited::new(body, limit_bytes).collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
@@ -188,11 +190,11 @@
     }
 }
 
-/// The address of a call as the library wants it.
+/// Builds the URI of a call.
 ///
 /// # Errors
 ///
-/// [`CallFailure::Malformed`] when the path is not one.
+/// [`CallFailure::Malformed`] when the path is not valid.
 pub fn uri(to: SocketAddr, path: &str) -> Result<Uri, CallFailure> {
     Uri::builder()
         .scheme("http")
--- a/crates/router/src/backend/mod.rs
+++ b/crates/router/src/backend/mod.rs
@@ -1,4 +1,4 @@
-//! The edges towards backend servers: model engines and plain services.
+//! Clients for backend servers: model engines and plain services.
 
 mod engine;
 mod engine_http;
@@ -6,9 +6,11 @@
 mod plain;
 
 pub use engine::{
-    CacheChange, CacheChangeKind, CachePage, DecodeCall, EngineEdge, EngineFailure, EngineLoad, Held,
+    CacheChange, CacheChangeKind, CachePage, DecodeCall, EngineClient, EngineFailure, EngineLoad, HeldMemory,
     HeldRequest, HeldStage, ImportCall, Imported, Owner, PrefillCall, Prefilled, StreamPart, TokenStream,
 };
-pub use engine_http::HttpEngines;
-pub use http::{BackendHttp, CallFailure, KnownReply, Trust, read_body, uri};
-pub use plain::{HttpPlain, PlainCall, PlainEdge, PlainFailure, PlainReply, strip_connection_headers};
+pub use engine_http::HttpEngineClient;
+pub use http::{BackendHttp, CallFailure, ConnectionReuse, TrackedReply, read_body, uri};
+pub use plain::{
+    HttpPlainClient, PlainCall, PlainClient, PlainFailure, PlainReply, strip_hop_by_hop_headers,
+};
--- a/crates/router/src/backend/plain.rs
+++ b/crates/router/src/backend/plain.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services: the caller's request as it came, and what the answer proves.
+//! Client for plain services: sends callers' requests as they came, and classifies what the answer proves.
 
 use std::fmt::Debug;
 use std::net::SocketAddr;
@@ -12,17 +12,17 @@
 use http_body_util::Full;
 use hyper::body::{Body as _, Incoming};
 
-use super::http::{BackendHttp, CallFailure, Trust, read_body, uri};
+use super::http::{BackendHttp, CallFailure, ConnectionReuse, read_body, uri};
 
-/// Answers up to this size are read whole before the caller's answer starts, so that its outcome header is
-/// true. A larger one is passed on as it comes.
-const WHOLE_ANSWER_BYTES: usize = 256 << 10;
+/// Answers up to this size are read completely before the answer to the caller starts, so that its outcome
+/// header is correct. Larger ones are streamed.
+const MAX_BUFFERED_ANSWER_BYTES: usize = 256 << 10;
 
-/// Header by which a draining instance says that it has not run the request.
+/// Response header by which a draining instance states that it has not run the request.
 const LEAVING_HEADER: &str = "x-leaving";
 
-/// Headers that belong to one connection and are not passed on (RFC 9110, section 7.6.1).
-const CONNECTION_HEADERS: [header::HeaderName; 6] = [
+/// Hop-by-hop headers, which are not passed on (RFC 9110, section 7.6.1).
+const HOP_BY_HOP_HEADERS: [header::HeaderName; 6] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
     header::TE,
@@ -34,44 +34,44 @@
 /// One request for a plain service.
 #[derive(Clone, Debug)]
 pub struct PlainCall {
-    /// The request's id, passed on.
+    /// Id of the request, passed on in a header.
     pub request_id: RequestId,
-    /// Set for a request that may not be repeated, and passed on.
+    /// Set for a request that must not be repeated, and passed on in a header.
     pub key: Option<IdempotencyKey>,
-    /// Method as sent.
+    /// Method as sent by the caller.
     pub method: Method,
-    /// Path and query as sent.
+    /// Path and query as sent by the caller.
     pub path: String,
-    /// Headers as sent.
+    /// Headers as sent by the caller.
     pub headers: HeaderMap,
-    /// Body as sent.
+    /// Body as sent by the caller.
     pub body: Bytes,
-    /// How long to wait for the answer.
+    /// Time-out of the call.
     pub timeout_ms: Millis,
-    /// Which connection it may take. A request that cannot be sent twice gets one of its own: an idle
-    /// connection may have gone silent.
-    pub trust: Trust,
+    /// Which connection the call may use. A request that must not be sent twice gets a new one, because an
+    /// idle connection may have gone silent.
+    pub reuse: ConnectionReuse,
 }
 
 /// An answer of a plain service.
 #[derive(Debug)]
 pub enum PlainReply {
-    /// Read to its end.
-    Whole {
-        /// Status.
+    /// The complete answer.
+    Buffered {
+        /// Status of the answer.
         status: StatusCode,
-        /// Headers without those of the connection.
+        /// Headers without the hop-by-hop ones.
         headers: HeaderMap,
-        /// Body.
+        /// The complete body.
         body: Bytes,
     },
-    /// Too large to hold: passed on as it comes.
+    /// An answer too large to buffer, or of unknown size.
     Streamed {
-        /// Status.
+        /// Status of the answer.
         status: StatusCode,
-        /// Headers without those of the connection.
+        /// Headers without the hop-by-hop ones.
         headers: HeaderMap,
-        /// Body.
+        /// The body, which has not been read.
         body: Incoming,
     },
 }
@@ -79,53 +79,54 @@
 /// Why a call to a plain service gave no answer.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, thiserror::Error)]
 pub enum PlainFailure {
-    /// Proof that the request did not run: no connection.
+    /// Proves that the request did not run: no connection was established.
     #[error("not sent")]
     NotSent,
-    /// Proof that the request did not run: the instance is leaving and says so.
+    /// Proves that the request did not run: the instance states that it is leaving.
     #[error("instance is leaving")]
     Leaving,
-    /// Sent, and no answer: it may have run.
+    /// The request was sent and no answer arrived: it may have run.
     #[error("no answer: {0}")]
     Unknown(CallFailure),
 }
 
-/// The edge towards plain services.
-pub trait PlainEdge: Debug + Send + Sync + 'static {
-    /// Sends one request. It is sent at most once.
+/// Client for plain services.
+pub trait PlainClient: Debug + Send + Sync + 'static {
+    /// Sends one request, at most once.
     fn call(&self, to: SocketAddr, call: PlainCall) -> BoxFuture<'_, Result<PlainReply, PlainFailure>>;
 }
 
-/// [`PlainEdge`] by HTTP.
+/// [`PlainClient`] over HTTP.
 #[derive(Clone, Debug)]
-pub struct HttpPlain {
+pub struct HttpPlainClient {
     http: BackendHttp,
 }
 
-impl HttpPlain {
-    /// Makes the edge.
+impl HttpPlainClient {
+    /// Creates a client that sends over `http`.
     pub fn new(http: BackendHttp) -> Self {
         Self { http }
     }
 }
 
-impl PlainEdge for HttpPlain {
+impl PlainClient for HttpPlainClient {
     fn call(&self, to: SocketAddr, call: PlainCall) -> BoxFuture<'_, Result<PlainReply, PlainFailure>> {
         Box::pin(async move {
             let timeout = Duration::from(call.timeout_ms);
-            let trust = call.trust;
+            let reuse = call.reuse;
             let request = request_of(to, call).map_err(|_| PlainFailure::NotSent)?;
-            let response = self.http.send(trust, request, timeout).await.map_err(failure_of)?;
+            let response = self.http.send(reuse, request, timeout).await.map_err(failure_of)?;
             let (mut parts, body) = response.into_parts();
             if parts.status == StatusCode::SERVICE_UNAVAILABLE && parts.headers.contains_key(LEAVING_HEADER) {
                 return Err(PlainFailure::Leaving);
             }
-            strip_connection_headers(&mut parts.headers);
-            if body.size_hint().exact().is_none_or(|size| size > WHOLE_ANSWER_BYTES as u64) {
+            strip_hop_by_hop_headers(&mut parts.headers);
+            if body.size_hint().exact().is_none_or(|size| size > MAX_BUFFERED_ANSWER_BYTES as u64) {
                 return Ok(PlainReply::Streamed { status: parts.status, headers: parts.headers, body });
             }
-            let body = read_body(body, WHOLE_ANSWER_BYTES, timeout).await.map_err(PlainFailure::Unknown)?;
-            Ok(PlainReply::Whole { status: parts.status, headers: parts.headers, body })
+            let body =
+                read_body(body, MAX_BUFFERED_ANSWER_BYTES, timeout).await.map_err(PlainFailure::Unknown)?;
+            Ok(PlainReply::Buffered { status: parts.status, headers: parts.headers, body })
         })
     }
 }
@@ -141,8 +142,8 @@
 
 fn request_of(to: SocketAddr, call: PlainCall) -> Result<Request<Full<Bytes>>, CallFailure> {
     let mut headers = call.headers;
-    strip_connection_headers(&mut headers);
-    // The router's own credentials and lengths: the token is the partner's secret, the length is counted anew.
+    strip_hop_by_hop_headers(&mut headers);
+    // These headers are the router's own: the token is the partner's secret, and the length is recomputed.
     headers.remove(header::AUTHORIZATION);
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::HOST);
@@ -158,8 +159,8 @@
     Ok(request)
 }
 
-/// Removes the headers that belong to one connection, those that `Connection` names among them.
-pub fn strip_connection_headers(headers: &mut HeaderMap) {
+/// Removes the hop-by-hop headers, including those that `Connection` names.
+pub fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<header::HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -167,7 +168,7 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&CONNECTION_HEADERS) {
+    for name in named.iter().chain(&HOP_BY_HOP_HEADERS) {
         headers.remove(name);
     }
     headers.remove("keep-alive");
--- a/crates/router/src/callers/auth.rs
+++ b/crates/router/src/callers/auth.rs
@@ -1,4 +1,4 @@
-//! Which partner a bearer token belongs to.
+//! Identifies partners by their bearer tokens.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -7,17 +7,17 @@
 
 use crate::settings::{PartnerSettings, TokenHash};
 
-const SCHEME: &str = "Bearer ";
+const BEARER_PREFIX: &str = "Bearer ";
 
-/// The partners by the hash of their tokens. Only hashes are held, so that neither a core dump nor a log
-/// gives a token away; looking up by hash also takes the same time whatever part of a guess is right.
+/// Partners by the hash of their tokens. Only hashes are held, so that neither a core dump nor a log reveals
+/// a token. Looking up by hash also takes the same time whichever part of a guessed token is right.
 #[derive(Clone, Debug, Default)]
 pub struct Tokens {
     partners: HashMap<TokenHash, PartnerId>,
 }
 
 impl Tokens {
-    /// Takes the hashes of the settings.
+    /// Indexes the token hashes of the settings.
     pub fn new(partners: &BTreeMap<PartnerId, PartnerSettings>) -> Self {
         let hashes = partners.iter().flat_map(|(partner, settings)| {
             settings.token_hashes.iter().map(|hash| (*hash, partner.clone()))
@@ -25,10 +25,10 @@
         Self { partners: hashes.collect() }
     }
 
-    /// The partner whose token the request carries.
+    /// The partner whose token the request carries; `None` when the token is missing or unknown.
     pub fn partner(&self, headers: &HeaderMap) -> Option<&PartnerId> {
         let value = headers.get(header::AUTHORIZATION)?.to_str().ok()?;
-        let token = value.strip_prefix(SCHEME)?;
+        let token = value.strip_prefix(BEARER_PREFIX)?;
         self.partners.get(&TokenHash::of(token))
     }
 }
--- a/crates/router/src/callers/body.rs
+++ b/crates/router/src/callers/body.rs
@@ -1,8 +1,8 @@
-//! Reads request bodies within a bound on all that are held together.
+//! Reads request bodies within a bound on the memory of all of them.
 //!
-//! Each body is bounded by itself, and yet a few thousand of them would fill the memory of a small host: it would
-//! be killed, and with it every request in flight, of the other partner too. So a body gets its room before it is
-//! read, and no partner may hold more than half of all room.
+//! Each body is bounded, but a few thousand of them would still fill the memory of a small host. The process
+//! would be killed, and with it every request in flight, including those of other partners. Memory is
+//! therefore reserved before a body is read, and no partner may reserve more than half of it.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -18,28 +18,28 @@
 use super::refusal::{Refusal, RefusalReason};
 use crate::settings::LimitSettings;
 
-/// Room is counted in units of this size, for the semaphore's permits are 32 bits wide.
-const UNIT_BYTES: u64 = 1 << 10;
+/// Unit in which memory is reserved, because the semaphore's permits are 32 bits wide.
+const PERMIT_BYTES: u64 = 1 << 10;
 
-/// No partner holds more than this part of all room.
+/// A partner may reserve at most the total divided by this.
 const PARTNER_DIVISOR: u64 = 2;
 
-/// Told to a caller whose body found no room; bodies are held for seconds.
+/// Retry delay for a caller whose body found no free memory; bodies are held for seconds.
 const RETRY_AFTER_MS: Millis = Millis(1_000);
 
 /// Reads bodies and accounts for their memory.
 #[derive(Debug)]
-pub struct Bodies {
+pub struct BodyReader {
     limits: LimitSettings,
-    room: Arc<Semaphore>,
+    memory: Arc<Semaphore>,
     partners: HashMap<PartnerId, Arc<Semaphore>>,
 }
 
-/// A body with the room that it takes. The room is free again when the last copy of the bytes is dropped.
+/// A body and its reserved memory. The reservation ends when the last copy of the bytes is dropped.
 #[derive(Debug)]
 pub struct HeldBody {
     bytes: Bytes,
-    _room: [OwnedSemaphorePermit; 2],
+    _permits: [OwnedSemaphorePermit; 2],
 }
 
 impl AsRef<[u8]> for HeldBody {
@@ -49,55 +49,55 @@
 }
 
 impl HeldBody {
-    /// The body as it came.
+    /// The body as received.
     pub fn into_bytes(self) -> Bytes {
         Bytes::from_owner(self)
     }
 
-    /// What was made of the body, in its room: not longer than the body.
-    pub fn become_bytes(self, bytes: Bytes) -> Bytes {
+    /// Replaces the body by `bytes` derived from it, which must not be longer, and keeps the reservation.
+    pub fn replace_bytes(self, bytes: Bytes) -> Bytes {
         Bytes::from_owner(Self { bytes, ..self })
     }
 }
 
-impl Bodies {
-    /// Room as the settings bound it, for these partners.
+impl BodyReader {
+    /// Creates a reader with the memory bounds of the settings, for these partners.
     pub fn new<'a, Partners>(limits: LimitSettings, partners: Partners) -> Self
     where
         Partners: Iterator<Item = &'a PartnerId>,
     {
         let largest = limits.body_bytes;
         let all = limits.held_body_bytes.max(largest);
-        let part = ByteCount(all.0 / PARTNER_DIVISOR).max(largest);
-        let room = |bytes: ByteCount| Arc::new(Semaphore::new(units(bytes.0) as usize));
+        let part_bytes = ByteCount(all.0 / PARTNER_DIVISOR).max(largest);
+        let semaphore = |bytes: ByteCount| Arc::new(Semaphore::new(permit_count(bytes.0) as usize));
         Self {
-            room: room(all),
-            partners: partners.map(|partner| (partner.clone(), room(part))).collect(),
+            memory: semaphore(all),
+            partners: partners.map(|partner| (partner.clone(), semaphore(part_bytes))).collect(),
             limits,
         }
     }
 
-    /// Reads a whole body of `partner`.
+    /// Reads a complete body from `partner`.
     ///
     /// # Errors
     ///
-    /// A refusal when it is too large, too slow or cut off, or when there is no room for it now.
+    /// A refusal when the body is too large, too slow or truncated, or when no memory is free for it.
     pub async fn read(&self, partner: &PartnerId, body: Incoming) -> Result<HeldBody, Refusal> {
         let expected = body.size_hint().exact().unwrap_or(self.limits.body_bytes.0);
-        // A length announced as too large is refused before a byte of it is read.
+        // A body whose announced length is too large is refused before any of it is read.
         if expected > self.limits.body_bytes.0 {
             return Err(Refusal::not_run(RefusalReason::BodyTooLarge));
         }
-        let room = self.take_room(partner, units(expected))?;
+        let permits = self.reserve(partner, permit_count(expected))?;
         let bytes = self.collect(body).await?;
-        Ok(HeldBody { bytes, _room: room })
+        Ok(HeldBody { bytes, _permits: permits })
     }
 
-    fn take_room(&self, partner: &PartnerId, units: u32) -> Result<[OwnedSemaphorePermit; 2], Refusal> {
+    fn reserve(&self, partner: &PartnerId, count: u32) -> Result<[OwnedSemaphorePermit; 2], Refusal> {
         let none = Refusal::not_run(RefusalReason::Overloaded).retry_after(RETRY_AFTER_MS);
-        let own = self.partners.get(partner).unwrap_or(&self.room);
-        let own = Arc::clone(own).try_acquire_many_owned(units).map_err(|_| none)?;
-        let all = Arc::clone(&self.room).try_acquire_many_owned(units).map_err(|_| none)?;
+        let own = self.partners.get(partner).unwrap_or(&self.memory);
+        let own = Arc::clone(own).try_acquire_many_owned(count).map_err(|_| none)?;
+        let all = Arc::clone(&self.memory).try_acquire_many_owned(count).map_err(|_| none)?;
         Ok([own, all])
     }
 
@@ -115,6 +115,6 @@
     }
 }
 
-fn units(bytes: u64) -> u32 {
-    u32::try_from(bytes.div_ceil(UNIT_BYTES)).unwrap_or(u32::MAX)
+fn permit_count(bytes: u64) -> u32 {
+    u32::try_from(bytes.div_ceil(PERMIT_BYTES)).unwrap_or(u32::MAX)
 }
--- a/crates/router/src/callers/connection.rs
+++ b/crates/router/src/callers/connection.rs
@@ -1,4 +1,4 @@
-//! One caller's connection, from its first byte to its end.
+//! Faults of callers' connections, and the wait for their first bytes.
 
 use std::error::Error;
 use std::io;
@@ -8,24 +8,24 @@
 
 use crate::metrics::Label;
 
-/// What an HTTP/2 connection begins with (RFC 9113, section 3.4).
+/// Connection preface of HTTP/2 (RFC 9113, section 3.4).
 const HTTP2_PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
-/// Pause between looks at a preface that comes in pieces.
-const PREFACE_PAUSE: Duration = Duration::from_millis(5);
+/// Interval at which a partially received preface is checked again.
+const PREFACE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Why the router ended a connection.
+/// Why the router closed a connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum ConnectionFault {
-    /// A head that is not HTTP, or whose lengths contradict each other.
+    /// The head is not HTTP, or its lengths contradict each other.
     HeadMalformed,
-    /// A head larger than allowed.
+    /// The head is larger than allowed.
     HeadTooLarge,
-    /// A head that did not arrive in time.
+    /// The head did not arrive in time.
     HeadTooSlow,
-    /// Frames that break the rules of HTTP/2.
+    /// Frames violate the HTTP/2 protocol.
     ProtocolViolation,
-    /// Streams opened and reset in a flood.
+    /// A flood of streams was opened and reset.
     ResetFlood,
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl ConnectionFault {
-    /// The fault behind an error of the library; `None` where the caller went away.
+    /// Classifies an error of the library; `None` when the caller closed the connection.
     pub(super) fn of(error: &(dyn Error + 'static)) -> Option<Self> {
         let error = error.downcast_ref::<hyper::Error>()?;
         if error.is_parse_too_large() {
@@ -66,42 +66,45 @@
     }
 }
 
-/// Waits until the first bytes tell HTTP/1.1 from HTTP/2. The library waits for them without a bound: a caller
-/// that connects and says nothing would hold its connection for ever, and enough of them all descriptors.
+/// Waits until the first bytes distinguish HTTP/1.1 from HTTP/2. The library waits for them without a bound:
+/// a caller that connects and sends nothing would hold its connection forever, and enough such callers would
+/// use up all descriptors.
 ///
 /// # Errors
 ///
-/// The fault where they do not come within `limit`, or the system's error where the connection ended.
+/// [`FirstBytesError::TooSlow`] when they do not arrive within `limit`, or [`FirstBytesError::Ended`] when
+/// the connection ended.
 pub(super) async fn first_bytes(stream: &TcpStream, limit: Duration) -> Result<(), FirstBytesError> {
-    match tokio::time::timeout(limit, version_known(stream)).await {
+    match tokio::time::timeout(limit, wait_for_version(stream)).await {
         Ok(Ok(())) => Ok(()),
         Ok(Err(error)) => Err(FirstBytesError::Ended(error)),
         Err(_) => Err(FirstBytesError::TooSlow),
     }
 }
 
-/// Why no first bytes came.
+/// Why the first bytes were not received.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum FirstBytesError {
     /// The connection ended.
     #[error("connection ended")]
     Ended(#[source] io::Error),
-    /// Nothing that tells the version came in time.
-    #[error("nothing came in time")]
+    /// The bytes that distinguish the versions did not arrive in time.
+    #[error("no first bytes within the time-out")]
     TooSlow,
 }
 
-async fn version_known(stream: &TcpStream) -> io::Result<()> {
+async fn wait_for_version(stream: &TcpStream) -> io::Result<()> {
     let mut bytes = [0; HTTP2_PREFACE.len()];
     loop {
-        let came = stream.peek(&mut bytes).await?;
-        if came == 0 {
+        let received = stream.peek(&mut bytes).await?;
+        if received == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        let is_partial_preface = came < HTTP2_PREFACE.len() && HTTP2_PREFACE.starts_with(&bytes[..came]);
+        let is_partial_preface =
+            received < HTTP2_PREFACE.len() && HTTP2_PREFACE.starts_with(&bytes[..received]);
         if !is_partial_preface {
             return Ok(());
         }
-        tokio::time::sleep(PREFACE_PAUSE).await;
+        tokio::time::sleep(PREFACE_POLL_INTERVAL).await;
     }
 }
--- a/crates/router/src/callers/head.rs
+++ b/crates/router/src/callers/head.rs
@@ -1,4 +1,4 @@
-//! What the router reads from a request's head.
+//! Parses the router's own request headers.
 
 use hibiscusvale_core::ids::{ClassName, IdempotencyKey};
 use hibiscusvale_core::ticket::Ticket;
@@ -11,26 +11,26 @@
 const REPEATABLE_HEADER: &str = "x-repeatable";
 const TICKET_HEADER: &str = "x-ticket";
 
-/// Headers of the router's own, read once.
+/// Request headers that the router itself reads.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Head {
-    /// Class of work.
+    /// Class of the request, as published by the partner.
     pub class: ClassName,
-    /// The caller's key.
+    /// Idempotency key, if the caller set one.
     pub key: Option<IdempotencyKey>,
-    /// What the caller said of running the request more than once.
+    /// Whether the caller marked the request as repeatable; `None` when it did not say.
     pub marked_repeatable: Option<bool>,
-    /// A ticket given before.
+    /// Ticket issued earlier, if the request carries one.
     pub ticket: Option<Ticket>,
 }
 
 impl Head {
-    /// Reads the headers.
+    /// Parses the headers.
     ///
     /// # Errors
     ///
-    /// A refusal when a header is there and not understood, or there is no class. A header that is ignored
-    /// because it is misspelt could make a request that must run once run twice.
+    /// A refusal when a header is malformed or the class is missing. Ignoring a misspelt header could make a
+    /// request that must run once run twice.
     pub fn read(headers: &HeaderMap) -> Result<Self, Refusal> {
         let class = parse(headers, CLASS_HEADER)?.ok_or(Refusal::not_run(RefusalReason::UnknownClass))?;
         let key = parse(headers, KEY_HEADER)?;
@@ -44,7 +44,7 @@
     }
 }
 
-/// The ticket that a request carries, if it is one.
+/// Parses the ticket of a request; `None` when it carries none.
 pub fn ticket(headers: &HeaderMap) -> Result<Option<Ticket>, Refusal> {
     parse(headers, TICKET_HEADER)
 }
--- a/crates/router/src/callers/language.rs
+++ b/crates/router/src/callers/language.rs
@@ -1,4 +1,5 @@
-//! Requests for models in the usual JSON, and their answers, whole or as server-sent events.
+//! Completion and chat requests in the common JSON format, and their answers, complete or as server-sent
+//! events.
 
 use bytes::Bytes;
 use futures_util::StreamExt;
@@ -17,23 +18,23 @@
 use super::response::{AnswerBody, REQUEST_ID_HEADER};
 use crate::dispatch::AnswerPart;
 
-/// Answer length where the caller names none.
+/// Answer length when the caller does not set one.
 const DEFAULT_MAX_TOKENS: u64 = 256;
 
-/// Longest answer that can be asked for.
-const MAX_MAX_TOKENS: u64 = 32_768;
+/// Longest answer that a caller can request.
+const MAX_TOKENS_LIMIT: u64 = 32_768;
 
-/// Which JSON the caller speaks.
+/// JSON format of a request and its answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Shape {
-    /// `messages` in, `message` or `delta` out.
+pub enum Api {
+    /// `messages` in the request, `message` or `delta` in the answer.
     Chat,
-    /// `prompt` in, `text` out.
+    /// `prompt` in the request, `text` in the answer.
     Completions,
 }
 
-impl Shape {
-    /// The path that takes this shape.
+impl Api {
+    /// Path of the API.
     pub fn path(self) -> &'static str {
         match self {
             Self::Chat => "/v1/chat/completions",
@@ -45,28 +46,28 @@
 /// A request for a model.
 #[derive(Clone, Debug)]
 pub struct LanguageRequest {
-    /// Its id.
+    /// Id of the request, unique across daemons.
     pub request_id: RequestId,
-    /// Whose it is.
+    /// The partner that sent it.
     pub partner: PartnerId,
     /// The router's own headers.
     pub head: Head,
-    /// The model asked for.
+    /// The requested model.
     pub model: ModelId,
     /// The prompt as the engine reads it.
     pub prompt: Bytes,
-    /// Longest answer wanted.
+    /// Upper bound of the answer's length.
     pub max_tokens: Tokens,
-    /// Whether tokens are sent as they come.
+    /// Whether tokens are streamed to the caller.
     pub stream: bool,
-    /// Which JSON to answer in.
-    pub shape: Shape,
-    /// Digest of what the caller sent, to tell two requests with one key apart.
+    /// JSON format of the answer.
+    pub api: Api,
+    /// Digest of the caller's body; tells different requests with the same key apart.
     pub digest: BodyDigest,
 }
 
 #[derive(Deserialize)]
-struct Asked {
+struct CompletionBody {
     model: ModelId,
     #[serde(default)]
     prompt: Option<String>,
@@ -91,67 +92,67 @@
 }
 
 impl LanguageRequest {
-    /// Reads a body.
+    /// Parses a body.
     ///
     /// # Errors
     ///
-    /// A refusal when it is not the JSON that the path takes, has no prompt, or asks for more tokens than
-    /// any class may.
+    /// A refusal when it is not the JSON that the path accepts, has no prompt, or asks for zero tokens or
+    /// for more than any class may.
     pub fn read(
         request_id: RequestId,
         partner: PartnerId,
         head: Head,
-        shape: Shape,
+        api: Api,
         body: HeldBody,
     ) -> Result<Self, Refusal> {
         let bad = Refusal::not_run(RefusalReason::BadBody);
-        let asked: Asked = serde_json::from_slice(body.as_ref()).map_err(|_| bad)?;
-        let prompt = match shape {
-            Shape::Completions => asked.prompt.unwrap_or_default(),
-            Shape::Chat => asked.messages.iter().flat_map(Message::lines).collect(),
+        let parsed: CompletionBody = serde_json::from_slice(body.as_ref()).map_err(|_| bad)?;
+        let prompt = match api {
+            Api::Completions => parsed.prompt.unwrap_or_default(),
+            Api::Chat => parsed.messages.iter().flat_map(Message::lines).collect(),
         };
-        let max_tokens = asked.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
-        if prompt.is_empty() || max_tokens == 0 || max_tokens > MAX_MAX_TOKENS {
+        let max_tokens = parsed.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
+        if prompt.is_empty() || max_tokens == 0 || max_tokens > MAX_TOKENS_LIMIT {
             return Err(bad);
         }
         Ok(Self {
             request_id,
             partner,
             head,
-            model: asked.model,
-            digest: BodyDigest::new("POST", shape.path(), body.as_ref()),
-            prompt: body.become_bytes(Bytes::from(prompt)),
+            model: parsed.model,
+            digest: BodyDigest::new("POST", api.path(), body.as_ref()),
+            prompt: body.replace_bytes(Bytes::from(prompt)),
             max_tokens: Tokens(max_tokens),
-            stream: asked.stream,
-            shape,
+            stream: parsed.stream,
+            api,
         })
     }
 }
 
-/// What the answer's JSON repeats of the request.
+/// Values of the request that its answer's JSON repeats.
 #[derive(Clone, Debug)]
-pub struct AnswerStyle {
+pub struct AnswerContext {
     request_id: RequestId,
     model: ModelId,
-    shape: Shape,
+    api: Api,
 }
 
-impl AnswerStyle {
-    /// The style in which `request` is answered.
+impl AnswerContext {
+    /// Takes the values from `request`.
     pub fn of(request: &LanguageRequest) -> Self {
-        Self { request_id: request.request_id, model: request.model.clone(), shape: request.shape }
+        Self { request_id: request.request_id, model: request.model.clone(), api: request.api }
     }
 
     fn chunk(&self, text: &str, finish_reason: Option<&'static str>) -> Vec<u8> {
-        let content = match self.shape {
-            Shape::Chat => ChoiceContent::Delta { delta: Delta { content: text } },
-            Shape::Completions => ChoiceContent::Text { text },
+        let content = match self.api {
+            Api::Chat => ChoiceContent::Delta { delta: Delta { content: text } },
+            Api::Completions => ChoiceContent::Text { text },
         };
         let answer = Answer {
             id: self.request_id.to_string(),
-            object: match self.shape {
-                Shape::Chat => "chat.completion.chunk",
-                Shape::Completions => "text_completion",
+            object: match self.api {
+                Api::Chat => "chat.completion.chunk",
+                Api::Completions => "text_completion",
             },
             model: &self.model,
             choices: [Choice { index: 0, content, finish_reason }],
@@ -160,16 +161,16 @@
         serde_json::to_vec(&answer).unwrap_or_default()
     }
 
-    fn whole(&self, text: &str, tokens: u64) -> Vec<u8> {
-        let content = match self.shape {
-            Shape::Chat => ChoiceContent::Message { message: Reply { role: "assistant", content: text } },
-            Shape::Completions => ChoiceContent::Text { text },
+    fn complete(&self, text: &str, tokens: u64) -> Vec<u8> {
+        let content = match self.api {
+            Api::Chat => ChoiceContent::Message { message: Reply { role: "assistant", content: text } },
+            Api::Completions => ChoiceContent::Text { text },
         };
         let answer = Answer {
             id: self.request_id.to_string(),
-            object: match self.shape {
-                Shape::Chat => "chat.completion",
-                Shape::Completions => "text_completion",
+            object: match self.api {
+                Api::Chat => "chat.completion",
+                Api::Completions => "text_completion",
             },
             model: &self.model,
             choices: [Choice { index: 0, content, finish_reason: Some("stop") }],
@@ -221,74 +222,78 @@
     completion_tokens: u64,
 }
 
-/// Waits for the first part, so that a refusal still gets its own status, then answers.
+/// Waits for the first part before it answers, so that a refusal still gets its own status.
 pub async fn answer(
-    style: AnswerStyle,
+    context: AnswerContext,
     stream: bool,
     mut parts: mpsc::Receiver<AnswerPart>,
 ) -> Response<AnswerBody> {
     if !stream {
-        return whole_answer(style, parts).await;
+        return complete_answer(context, parts).await;
     }
     match parts.recv().await {
-        Some(AnswerPart::Refused(refusal)) => refusal.into_response(style.request_id),
-        None => Refusal::unknown(RefusalReason::NoAnswer).into_response(style.request_id),
-        Some(first) => stream_answer(style, first, parts),
+        Some(AnswerPart::Refused(refusal)) => refusal.into_response(context.request_id),
+        None => Refusal::unknown(RefusalReason::NoAnswer).into_response(context.request_id),
+        Some(first) => stream_answer(context, first, parts),
     }
 }
 
-async fn whole_answer(style: AnswerStyle, mut parts: mpsc::Receiver<AnswerPart>) -> Response<AnswerBody> {
+async fn complete_answer(
+    context: AnswerContext,
+    mut parts: mpsc::Receiver<AnswerPart>,
+) -> Response<AnswerBody> {
     let mut text = String::new();
     loop {
         match parts.recv().await {
             Some(AnswerPart::Token { text: token }) => text.push_str(&token),
             Some(AnswerPart::Done { tokens }) => {
-                let body = Full::new(Bytes::from(style.whole(&text, tokens)));
+                let body = Full::new(Bytes::from(context.complete(&text, tokens)));
                 let mut response = Response::new(body.map_err(|never| match never {}).boxed_unsync());
-                put_head(&mut response, &style, "application/json");
+                insert_headers(&mut response, &context, "application/json");
                 response
                     .headers_mut()
                     .insert(OUTCOME_HEADER, HeaderValue::from_static(Outcome::Answered.as_str()));
                 return response;
             }
-            Some(AnswerPart::Refused(refusal)) => return refusal.into_response(style.request_id),
-            None => return Refusal::unknown(RefusalReason::NoAnswer).into_response(style.request_id),
+            Some(AnswerPart::Refused(refusal)) => return refusal.into_response(context.request_id),
+            None => return Refusal::unknown(RefusalReason::NoAnswer).into_response(context.request_id),
         }
     }
 }
 
-/// A stream's outcome is known at its end only: `[DONE]` says answered, an error event names the outcome.
+/// The outcome of a stream is known only at its end: `[DONE]` means answered, and an error event names any
+/// other outcome.
 fn stream_answer(
-    style: AnswerStyle,
+    context: AnswerContext,
     first: AnswerPart,
     parts: mpsc::Receiver<AnswerPart>,
 ) -> Response<AnswerBody> {
-    let head_style = style.clone();
+    let header_context = context.clone();
     let rest =
         futures_util::stream::unfold(parts, |mut parts| async move { Some((parts.recv().await?, parts)) });
     let frames = futures_util::stream::once(std::future::ready(first))
         .chain(rest)
-        .map(move |part| Ok(Frame::data(event(&style, &part))));
+        .map(move |part| Ok(Frame::data(event(&context, &part))));
     let mut response = Response::new(StreamBody::new(frames).boxed_unsync());
-    put_head(&mut response, &head_style, "text/event-stream");
+    insert_headers(&mut response, &header_context, "text/event-stream");
     response.headers_mut().insert(header::CACHE_CONTROL, HeaderValue::from_static("no-store"));
     response
 }
 
-fn put_head(response: &mut Response<AnswerBody>, style: &AnswerStyle, content_type: &'static str) {
+fn insert_headers(response: &mut Response<AnswerBody>, context: &AnswerContext, content_type: &'static str) {
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static(content_type));
-    if let Ok(id) = HeaderValue::from_str(&style.request_id.to_string()) {
+    if let Ok(id) = HeaderValue::from_str(&context.request_id.to_string()) {
         headers.insert(REQUEST_ID_HEADER, id);
     }
 }
 
-fn event(style: &AnswerStyle, part: &AnswerPart) -> Bytes {
+fn event(context: &AnswerContext, part: &AnswerPart) -> Bytes {
     let mut event = Vec::from(b"data: ".as_slice());
     match part {
-        AnswerPart::Token { text } => event.extend(style.chunk(text, None)),
+        AnswerPart::Token { text } => event.extend(context.chunk(text, None)),
         AnswerPart::Done { .. } => {
-            event.extend(style.chunk("", Some("stop")));
+            event.extend(context.chunk("", Some("stop")));
             event.extend_from_slice(b"\n\ndata: [DONE]");
         }
         AnswerPart::Refused(refusal) => {
--- a/crates/router/src/callers/listener.rs
+++ b/crates/router/src/callers/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts callers' connections and lets them end in their own time.
+//! Accepts callers' connections and shuts them down gracefully.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener as StdTcpListener};
@@ -24,33 +24,34 @@
 use super::response::AnswerBody;
 use super::service::{CallerService, CallerState};
 
-/// Streams that one HTTP/2 connection may have open. The balancer in front opens few connections with many
-/// requests each; beyond this a single connection could hold all that a host can do.
-const STREAMS_PER_CONNECTION: u32 = 512;
+/// Concurrent streams of one HTTP/2 connection. The balancer in front opens few connections with many
+/// requests each; without a bound a single connection could take the whole capacity of a host.
+const MAX_CONNECTION_STREAMS: u32 = 512;
 
-/// Streams that a connection may reset before they were accepted. A caller that opens and resets streams in a
-/// flood costs work that nobody sees; past this its connection is closed and no other is touched.
-const PENDING_RESETS: usize = 32;
+/// Streams that a connection may reset before they are accepted. A flood of streams that are opened and
+/// reset costs work that shows up nowhere; beyond this bound the connection is closed, and no other is
+/// affected.
+const MAX_PENDING_RESETS: usize = 32;
 
-/// Pause after the system refused a new connection, mostly for want of descriptors: trying again at once
-/// would take the thread from those who are being served.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after the system refused a new connection, mostly for lack of descriptors: an immediate retry would
+/// take the thread away from the open connections.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How long an idle HTTP/2 connection may leave a ping unanswered. Connections go silent for good when
-/// something in between loses track of them; they would hold their memory for ever.
+/// Interval of the pings on an idle HTTP/2 connection. Connections go silent when a middlebox loses their
+/// state, and would hold their memory forever.
 const PING_INTERVAL: Duration = Duration::from_secs(15);
 
 /// Bounds of the listener.
 #[derive(Clone, Debug)]
 pub struct ListenerSettings {
-    /// Requests in work at a time; more are refused as overloaded.
+    /// Concurrent requests; further ones are refused as overloaded.
     pub in_flight: usize,
-    /// Connections at a time; more wait to be accepted. Each takes a descriptor and some ten KB, and a host that
-    /// runs out of descriptors can reach no backend server either.
+    /// Concurrent connections; further ones wait to be accepted. Each takes a descriptor and some ten KB,
+    /// and a host without free descriptors cannot reach any backend server either.
     pub connections: usize,
     /// Largest request head.
     pub head_bytes: Bytes,
-    /// Time for a request head to arrive.
+    /// Time within which a request head has to arrive.
     pub head_timeout_ms: Millis,
 }
 
@@ -65,7 +66,7 @@
     }
 }
 
-/// A bound socket that is not yet served.
+/// A bound socket that does not accept connections yet.
 #[derive(Debug)]
 pub struct Listener {
     socket: StdTcpListener,
@@ -77,28 +78,28 @@
     ///
     /// # Errors
     ///
-    /// The system's error.
+    /// The operating system's error.
     pub fn bind(address: SocketAddr, settings: ListenerSettings) -> io::Result<Self> {
         let socket = StdTcpListener::bind(address)?;
         socket.set_nonblocking(true)?;
         Ok(Self { socket, settings })
     }
 
-    /// The address that was bound.
+    /// The bound address.
     ///
     /// # Errors
     ///
-    /// The system's error.
+    /// The operating system's error.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// Serves until `stop` fires, then takes no new connection, asks callers to go elsewhere with their next
-    /// request, and returns when the last answer has ended.
+    /// Serves until `stop` is cancelled. Then it accepts no more connections, asks callers to send their
+    /// next request to another host, and returns when the last answer has ended.
     ///
     /// # Errors
     ///
-    /// The system's error when the socket cannot be handed to the runtime.
+    /// The operating system's error when the socket cannot be registered with the runtime.
     pub async fn serve(self, state: Arc<CallerState>, stop: CancellationToken) -> io::Result<()> {
         let socket = TcpListener::from_std(self.socket.try_clone()?)?;
         let connections = Arc::new(Connections {
@@ -113,14 +114,14 @@
             .load_shed()
             .layer(tower::limit::GlobalConcurrencyLimitLayer::new(self.settings.in_flight))
             .service(CallerService::new(state));
-        let room = Arc::new(Semaphore::new(self.settings.connections));
+        let permits = Arc::new(Semaphore::new(self.settings.connections));
         loop {
             let accepted = tokio::select! {
-                accepted = accept(&socket, &room) => accepted,
+                accepted = accept(&socket, &permits) => accepted,
                 () = stop.cancelled() => break,
             };
-            let Ok(Accepted { stream, room: place }) = accepted else {
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+            let Ok(Accepted { stream, permit: connection_permit }) = accepted else {
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             let service = service.clone().boxed_clone();
@@ -128,10 +129,11 @@
             let watcher = graceful.watcher();
             tokio::spawn(async move {
                 connections.serve(stream, service, watcher).await;
-                drop(place);
+                drop(connection_permit);
             });
         }
-        // Both handles go, so that a connection attempt is refused at once and the caller asks another host.
+        // Both handles are closed, so that a connection attempt is refused at once and the caller tries
+        // another host.
         drop(socket);
         drop(self.socket);
         graceful.shutdown().await;
@@ -150,33 +152,33 @@
             .http2()
             .timer(TokioTimer::new())
             .keep_alive_interval(PING_INTERVAL)
-            .max_concurrent_streams(STREAMS_PER_CONNECTION)
-            .max_pending_accept_reset_streams(PENDING_RESETS)
+            .max_concurrent_streams(MAX_CONNECTION_STREAMS)
+            .max_pending_accept_reset_streams(MAX_PENDING_RESETS)
             .max_header_list_size(u32::try_from(head_bytes).unwrap_or(u32::MAX));
         builder
     }
 }
 
-/// A connection with its place among those that are served.
+/// A connection and its permit.
 struct Accepted {
     stream: TcpStream,
-    room: OwnedSemaphorePermit,
+    permit: OwnedSemaphorePermit,
 }
 
-async fn accept(socket: &TcpListener, room: &Arc<Semaphore>) -> io::Result<Accepted> {
-    let room = Arc::clone(room).acquire_owned().await.map_err(io::Error::other)?;
+async fn accept(socket: &TcpListener, permits: &Arc<Semaphore>) -> io::Result<Accepted> {
+    let permit = Arc::clone(permits).acquire_owned().await.map_err(io::Error::other)?;
     let (stream, _) = socket.accept().await?;
-    Ok(Accepted { stream, room })
+    Ok(Accepted { stream, permit })
 }
 
-/// The library panics below this.
+/// Smallest buffer that the library accepts; it panics below this.
 const MIN_HTTP1_BUFFER_BYTES: usize = 8_192;
 
 type BoxedService = BoxCloneService<Request<Incoming>, Response<AnswerBody>, BoxError>;
 
 type CallerResult = Result<Response<AnswerBody>, BoxError>;
 
-/// Turns the limiter's error into an ordinary refusal: the request did not run.
+/// Turns the limiter's error into a refusal: the request did not run.
 fn shed(state: &CallerState, result: CallerResult) -> Response<AnswerBody> {
     result.unwrap_or_else(|_| {
         let request_id = state.next_id();
@@ -186,7 +188,7 @@
     })
 }
 
-/// What each connection needs.
+/// State shared by all connections.
 struct Connections {
     builder: auto::Builder<TokioExecutor>,
     state: Arc<CallerState>,
@@ -195,24 +197,24 @@
 
 impl Connections {
     async fn serve(&self, stream: TcpStream, service: BoxedService, watcher: Watcher) {
-        // Tokens are small and must not wait for a full segment.
+        // Without this, small segments such as single tokens would be delayed.
         if stream.set_nodelay(true).is_err() {
             return;
         }
         match first_bytes(&stream, self.head_timeout).await {
             Ok(()) => {}
-            Err(FirstBytesError::TooSlow) => return self.note(ConnectionFault::HeadTooSlow),
-            // The caller, or a probe of the balancer, went away without asking for anything.
+            Err(FirstBytesError::TooSlow) => return self.record(ConnectionFault::HeadTooSlow),
+            // The caller, or a health probe of the balancer, closed the connection without a request.
             Err(FirstBytesError::Ended(_)) => return,
         }
-        let ended = self.watched(stream, service, watcher).await;
-        // What a caller whose connection broke was owed is released by the request's task.
+        let ended = self.serve_http(stream, service, watcher).await;
+        // When a connection breaks, the task of each of its requests releases what it holds.
         if let Some(fault) = ended.err().and_then(|error| ConnectionFault::of(&*error)) {
-            self.note(fault);
+            self.record(fault);
         }
     }
 
-    fn watched(
+    fn serve_http(
         &self,
         stream: TcpStream,
         service: BoxedService,
@@ -223,7 +225,7 @@
         Box::pin(watcher.watch(connection.into_owned()))
     }
 
-    fn note(&self, fault: ConnectionFault) {
+    fn record(&self, fault: ConnectionFault) {
         self.state.dispatcher.observer.connection_ended(fault);
     }
 }
--- a/crates/router/src/callers/mod.rs
+++ b/crates/router/src/callers/mod.rs
@@ -1,4 +1,4 @@
-//! The edge towards callers: HTTP/1.1 and HTTP/2 on one port.
+//! Interface to callers: HTTP/1.1 and HTTP/2 on one port.
 
 mod auth;
 mod body;
@@ -12,9 +12,9 @@
 mod service;
 
 pub use auth::Tokens as PartnerTokens;
-pub use body::{Bodies, HeldBody};
+pub use body::{BodyReader, HeldBody};
 pub use head::Head;
-pub use language::{LanguageRequest, Shape};
+pub use language::{Api, LanguageRequest};
 pub use listener::{Listener, ListenerSettings};
 pub use plain::PlainRequest;
 pub use refusal::{OUTCOME_HEADER, Outcome, Refusal, RefusalReason};
--- a/crates/router/src/callers/refusal.rs
+++ b/crates/router/src/callers/refusal.rs
@@ -1,5 +1,5 @@
-//! Refusals: each has a reason from a closed set, a status, an outcome, and where another try can help the
-//! time to come back.
+//! Refusals. Each has a reason from a closed set, an HTTP status, an outcome, and a retry delay where a
+//! retry can help.
 
 use std::fmt;
 
@@ -13,7 +13,7 @@
 
 use super::response::{AnswerBody, REQUEST_ID_HEADER};
 
-/// Header that names the outcome.
+/// Response header that names the outcome.
 pub const OUTCOME_HEADER: &str = "x-outcome";
 
 const MILLIS_PER_SECOND: u64 = 1_000;
@@ -21,11 +21,11 @@
 /// Why a request got no answer.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum RefusalReason {
-    /// The answer of an earlier run with the same key is no longer held.
+    /// The answer of an earlier run with the same key is no longer stored.
     AnswerGone,
-    /// The body is not what the path takes.
+    /// The body is not valid for the path.
     BadBody,
-    /// A header that the router reads is not understood.
+    /// A header that the router reads is malformed.
     BadHeader,
     /// The body is larger than allowed.
     BodyTooLarge,
@@ -35,44 +35,44 @@
     BodyTruncated,
     /// A claim for the key cannot be recorded now.
     ClaimsUnavailable,
-    /// The key was used with another request.
+    /// The key was used with a different request.
     DifferentBody,
     /// The daemon is stopping.
     Draining,
     /// A request with the same key is running.
     InProgress,
-    /// The daemon holds as much as it may.
+    /// The daemon has reached one of its own limits.
     Overloaded,
     /// The partner's queue is full.
     QueueFull,
     /// The target cannot be met and the class does not wait.
     TargetUnreachable,
-    /// No backend server takes it now.
+    /// No backend server can take the request now.
     NoBackendServer,
-    /// The partner has as many tickets as it may.
+    /// The partner has reached its limit of tickets.
     TooManyTickets,
-    /// The class is for another kind of work.
+    /// The class is for the other kind of request, language or plain.
     WrongClass,
     /// The daemon does not know the configuration yet.
     NoConfiguration,
     /// No plain service has this path.
     NoRoute,
-    /// The request was sent and no answer came.
+    /// The request was sent and no answer arrived.
     NoAnswer,
-    /// Tries are used up.
+    /// All attempts failed.
     RetriesExhausted,
     /// No partner has this token.
     Unauthenticated,
     /// The partner has not published the class.
     UnknownClass,
-    /// The ticket is not one of a daemon that still lives.
+    /// The ticket has expired or was never issued, or its issuer is gone or unreachable.
     TicketVoid,
     /// No backend server serves the model.
     UnknownModel,
 }
 
 impl RefusalReason {
-    /// The reason in counters, logs and answers.
+    /// The reason as it appears in metrics, logs and answers.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::AnswerGone => "answer-gone",
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The status of the answer.
+    /// HTTP status of the answer.
     pub fn status(self) -> StatusCode {
         match self {
             Self::BadBody | Self::BadHeader | Self::BodyTruncated | Self::WrongClass => {
@@ -137,32 +137,32 @@
 /// A request that got no answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// Why it was refused.
     pub reason: RefusalReason,
-    /// What is known of its effect.
+    /// Whether the request may have run.
     pub outcome: Outcome,
-    /// When to come back, where that can help.
+    /// Delay before a retry; `None` where a retry cannot help.
     pub retry_after_ms: Option<Millis>,
 }
 
 impl Refusal {
-    /// A request that did not run.
+    /// A refusal of a request that did not run.
     pub fn not_run(reason: RefusalReason) -> Self {
         Self { reason, outcome: Outcome::NotRun, retry_after_ms: None }
     }
 
-    /// A request that may have run.
+    /// A refusal of a request that may have run.
     pub fn unknown(reason: RefusalReason) -> Self {
         Self { reason, outcome: Outcome::Unknown, retry_after_ms: None }
     }
 
-    /// The same with a time to come back.
+    /// Sets the retry delay.
     #[must_use]
     pub fn retry_after(self, retry_after_ms: Millis) -> Self {
         Self { retry_after_ms: Some(retry_after_ms), ..self }
     }
 
-    /// The answer that tells the caller.
+    /// Builds the response to the caller.
     pub fn into_response(self, request_id: RequestId) -> Response<AnswerBody> {
         let status = self.reason.status();
         let problem = Problem {
--- a/crates/router/src/callers/response.rs
+++ b/crates/router/src/callers/response.rs
@@ -1,4 +1,4 @@
-//! Bodies and heads of answers.
+//! Bodies and headers of answers.
 
 use bytes::Bytes;
 use hibiscusvale_core::ids::RequestId;
@@ -9,19 +9,19 @@
 
 use super::refusal::{OUTCOME_HEADER, Outcome};
 
-/// Header that names the request.
+/// Header with the id of the request.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// The body broke off: the caller's connection is closed in the middle, so that what came cannot be taken
-/// for a whole answer.
+/// The body was aborted. The caller's connection is closed in the middle of it, so that a partial answer
+/// cannot be mistaken for a complete one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("answer broke off")]
+#[error("answer body aborted")]
 pub struct BodyBroken;
 
 /// Body of an answer.
 pub type AnswerBody = UnsyncBoxBody<Bytes, BodyBroken>;
 
-/// Answer to a request for a ticket.
+/// Builds the answer to a request for a ticket.
 pub fn ticket(request_id: RequestId, ticket: &Ticket) -> Response<AnswerBody> {
     let body = serde_json::json!({ "ticket": ticket.to_string() }).to_string();
     let mut response =
--- a/crates/router/src/callers/service.rs
+++ b/crates/router/src/callers/service.rs
@@ -1,4 +1,4 @@
-//! From a caller's HTTP request to the dispatcher and back.
+//! HTTP service that passes callers' requests to the dispatcher.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -15,9 +15,9 @@
 use tower::Service;
 
 use super::auth::Tokens;
-use super::body::Bodies;
+use super::body::BodyReader;
 use super::head::{self, Head};
-use super::language::{self, AnswerStyle, LanguageRequest, Shape};
+use super::language::{self, AnswerContext, Api, LanguageRequest};
 use super::plain::PlainRequest;
 use super::refusal::{Refusal, RefusalReason};
 use super::response::{self, AnswerBody};
@@ -28,34 +28,34 @@
 
 const TICKETS_PATH: &str = "/v1/tickets";
 
-/// Told to a partner with too many tickets; they run out within minutes.
-const TICKET_RETRY_MS: Millis = Millis(10_000);
+/// Retry delay for a partner that has reached its limit of tickets; tickets expire within minutes.
+const TICKET_RETRY_AFTER_MS: Millis = Millis(10_000);
 
-/// Told to callers of a daemon that has just started; it learns the configuration from its peers or the log
-/// within seconds.
-const CONFIG_RETRY_MS: Millis = Millis(1_000);
+/// Retry delay for callers of a daemon that has just started; it learns the configuration from its peers or
+/// the log within seconds.
+const CONFIG_RETRY_AFTER_MS: Millis = Millis(1_000);
 
-/// What every connection shares.
+/// State shared by all connections.
 #[derive(Debug)]
 pub struct CallerState {
     /// Partners by token.
     pub tokens: Tokens,
-    /// Paths of plain services.
+    /// Path prefixes of plain services.
     pub routes: Vec<RouteSettings>,
-    /// Reads what callers send.
-    pub bodies: Bodies,
-    /// Carries requests out.
+    /// Reads request bodies.
+    pub bodies: BodyReader,
+    /// Runs the requests.
     pub dispatcher: Arc<Dispatcher>,
     /// The configuration in force.
     pub config: Arc<ArcSwap<ConfigState>>,
-    /// This daemon's life.
+    /// This daemon's incarnation.
     pub incarnation: Incarnation,
-    /// Requests taken in by this life.
+    /// Number of requests received by this incarnation.
     pub sequence: AtomicU64,
 }
 
 impl CallerState {
-    /// An id that no request had before.
+    /// Returns a request id that has not been used before.
     pub fn next_id(&self) -> RequestId {
         RequestId { incarnation: self.incarnation, sequence: self.sequence.fetch_add(1, Ordering::Relaxed) }
     }
@@ -64,9 +64,9 @@
         let is_chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
         let mut response = self.serve_one(request).await;
         if is_chunked {
-            // A request may carry both an encoding and a length, and what is in front of this host may have
-            // believed the length: what follows on the connection would then be a request that nobody made.
-            // The library goes by the encoding and hides the length, so that nothing behind a chunked body is
+            // A request may have both a transfer encoding and a length, and a proxy in front of this host
+            // may have used the length: what follows on the connection would then be a request that nobody
+            // made. The library uses the encoding and hides the length, so nothing after a chunked body is
             // read at all (RFC 9112, section 6.1).
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Refusals that come back from here were met before the dispatcher took the request, so nobody has
-    /// counted them yet.
+    /// Refusals returned from here occurred before the dispatcher took the request, so they have not been
+    /// counted yet.
     async fn try_serve(
         &self,
         request_id: RequestId,
@@ -94,10 +94,10 @@
         let unauthenticated = Refusal::not_run(RefusalReason::Unauthenticated);
         let partner = self.tokens.partner(request.headers()).ok_or(unauthenticated)?.clone();
         if (request.method(), request.uri().path()) == (&Method::POST, TICKETS_PATH) {
-            return self.give_ticket(request_id, &partner);
+            return self.issue_ticket(request_id, &partner);
         }
         if let Some(ticket) =
-            head::ticket(request.headers())?.filter(|ticket| self.dispatcher.is_elsewhere(ticket))
+            head::ticket(request.headers())?.filter(|ticket| self.dispatcher.is_for_other_daemon(ticket))
         {
             let (parts, body) = request.into_parts();
             let body = self.bodies.read(&partner, body).await?.into_bytes();
@@ -105,26 +105,25 @@
         }
         let head = Head::read(request.headers())?;
         match (request.method(), request.uri().path()) {
-            (&Method::POST, path) if path == Shape::Completions.path() => {
-                self.language(request_id, partner, head, Shape::Completions, request).await
+            (&Method::POST, path) if path == Api::Completions.path() => {
+                self.language(request_id, partner, head, Api::Completions, request).await
             }
-            (&Method::POST, path) if path == Shape::Chat.path() => {
-                self.language(request_id, partner, head, Shape::Chat, request).await
+            (&Method::POST, path) if path == Api::Chat.path() => {
+                self.language(request_id, partner, head, Api::Chat, request).await
             }
             _ => self.plain(request_id, partner, head, request).await,
         }
     }
 
-    /// Gives a ticket: a name for one request that this daemon's life alone may run.
-    fn give_ticket(
+    /// Issues a ticket: an identifier for one request that only this daemon incarnation may run.
+    fn issue_ticket(
         &self,
         request_id: RequestId,
         partner: &PartnerId,
     ) -> Result<Response<AnswerBody>, Refusal> {
-        let ticket =
-            self.dispatcher.tickets.give(partner).map_err(|_full| {
-                Refusal::not_run(RefusalReason::TooManyTickets).retry_after(TICKET_RETRY_MS)
-            })?;
+        let ticket = self.dispatcher.tickets.give(partner).map_err(|_full| {
+            Refusal::not_run(RefusalReason::TooManyTickets).retry_after(TICKET_RETRY_AFTER_MS)
+        })?;
         Ok(response::ticket(request_id, &ticket))
     }
 
@@ -133,16 +132,16 @@
         request_id: RequestId,
         partner: PartnerId,
         head: Head,
-        shape: Shape,
+        api: Api,
         request: Request<Incoming>,
     ) -> Result<Response<AnswerBody>, Refusal> {
         let body = self.bodies.read(&partner, request.into_body()).await?;
-        let request = LanguageRequest::read(request_id, partner, head, shape, body)?;
-        let style = AnswerStyle::of(&request);
+        let request = LanguageRequest::read(request_id, partner, head, api, body)?;
+        let context = AnswerContext::of(&request);
         let stream = request.stream;
         let target = self.language_target(&request)?;
         let parts = self.dispatcher.language(request, target)?;
-        Ok(language::answer(style, stream, parts).await)
+        Ok(language::answer(context, stream, parts).await)
     }
 
     async fn plain(
@@ -191,8 +190,8 @@
         }
     }
 
-    /// The target of a class as it is in force here. A daemon that does not know the configuration yet does
-    /// not say that a class is unknown: the caller is asked to come back.
+    /// The target of a class in the configuration in force. A daemon that does not know the configuration
+    /// yet does not report a class as unknown; it asks the caller to retry.
     fn class_target(&self, partner: &PartnerId, class: &ClassName) -> Result<ClassTarget, Refusal> {
         let config = self.config.load();
         if let Some(target) = config.class(partner, class) {
@@ -201,7 +200,7 @@
         if config.is_known() {
             Err(Refusal::not_run(RefusalReason::UnknownClass))
         } else {
-            Err(Refusal::not_run(RefusalReason::NoConfiguration).retry_after(CONFIG_RETRY_MS))
+            Err(Refusal::not_run(RefusalReason::NoConfiguration).retry_after(CONFIG_RETRY_AFTER_MS))
         }
     }
 
@@ -218,14 +217,14 @@
     }
 }
 
-/// The service behind each caller's connection.
+/// The HTTP service of each caller's connection.
 #[derive(Clone, Debug)]
 pub struct CallerService {
     state: Arc<CallerState>,
 }
 
 impl CallerService {
-    /// Makes the service.
+    /// Creates a service on the shared `state`.
     pub fn new(state: Arc<CallerState>) -> Self {
         Self { state }
     }
--- a/crates/router/src/daemon.rs
+++ b/crates/router/src/daemon.rs
@@ -19,14 +19,14 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use crate::backend::{BackendHttp, EngineEdge, HttpEngines, HttpPlain, Owner, PlainEdge};
-use crate::callers::{Bodies, CallerState, Listener, ListenerSettings, PartnerTokens};
+use crate::backend::{BackendHttp, EngineClient, HttpEngineClient, HttpPlainClient, Owner, PlainClient};
+use crate::callers::{BodyReader, CallerState, Listener, ListenerSettings, PartnerTokens};
 use crate::clock;
 use crate::config::PublishKeyError;
 use crate::control::{Control, ControlParts, RunningControl};
 use crate::counted_log::CountedLog;
 use crate::directory::Directory;
-use crate::dispatch::{Asks, Demand, Dispatcher, Hub, Observer, PlainHub, Releases};
+use crate::dispatch::{Demand, Dispatcher, Hub, LoanRequestSender, Observer, PlainHub, Releases};
 use crate::external::{HostList, HttpHostList, HttpLog, HttpLogSettings, HttpWeightStore, Log, WeightStore};
 use crate::figures::Figures;
 use crate::kernel::{KernelError, ServiceName};
@@ -76,9 +76,9 @@
 #[derive(Clone, Debug)]
 pub struct Edges {
     /// Model engines.
-    pub engines: Arc<dyn EngineEdge>,
+    pub engines: Arc<dyn EngineClient>,
     /// Plain services.
-    pub plain_services: Arc<dyn PlainEdge>,
+    pub plain_services: Arc<dyn PlainClient>,
     /// The platform's host list.
     pub hosts: Arc<dyn HostList>,
     /// The platform's log.
@@ -93,8 +93,8 @@
         let http = BackendHttp::new();
         let owner = Owner { host: settings.host.id.clone(), incarnation };
         Self {
-            engines: Arc::new(HttpEngines::new(http.clone(), owner)),
-            plain_services: Arc::new(HttpPlain::new(http)),
+            engines: Arc::new(HttpEngineClient::new(http.clone(), owner)),
+            plain_services: Arc::new(HttpPlainClient::new(http)),
             hosts: Arc::new(HttpHostList::new(settings.platform.hosts)),
             log: Arc::new(HttpLog::new(settings.platform.log, HttpLogSettings::default())),
             weights: Arc::new(HttpWeightStore::new(settings.platform.weights)),
@@ -203,7 +203,7 @@
         let state = CallerState {
             tokens: PartnerTokens::new(&settings.partners),
             routes: settings.routes.clone(),
-            bodies: Bodies::new(settings.limits.clone(), settings.partners.keys()),
+            bodies: BodyReader::new(settings.limits.clone(), settings.partners.keys()),
             dispatcher: Arc::new(dispatcher),
             config: Arc::clone(&control.services.config.state),
             incarnation,
@@ -279,7 +279,7 @@
             // Calls that may not be repeated run on although their callers have left.
             tasks.close();
             tasks.wait().await;
-            while releases.under_way() > 0 {
+            while releases.unconfirmed() > 0 {
                 tokio::time::sleep(RELEASE_POLL).await;
             }
         });
@@ -322,7 +322,7 @@
         let hub = Hub::new(SchedulerSettings::default(), seed, route, Arc::clone(releases));
         Self {
             hub: Arc::new(hub),
-            plain_hub: Arc::new(PlainHub::new(PlainSettings::default(), seed, Asks::default())),
+            plain_hub: Arc::new(PlainHub::new(PlainSettings::default(), seed, LoanRequestSender::default())),
         }
     }
 
--- a/crates/router/src/dispatch/once.rs
+++ b/crates/router/src/dispatch/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Requests that run at most once: the gate of keys and tickets in front of every run.
+//! At-most-once execution: checks idempotency keys and tickets before a request runs.
 
 use std::sync::Arc;
 
@@ -19,34 +19,34 @@
 use crate::claims::{ClaimDecision, ClaimGuard};
 use crate::tickets::{TicketGuard, TicketUse};
 
-/// Header that tells callers for how long a key is remembered.
+/// Response header that tells callers for how long a key is kept.
 const RETENTION_HEADER: &str = "x-key-retention-seconds";
 
-/// Header of an answer that an earlier request with the same key or ticket got.
+/// Response header that marks the stored answer of an earlier request with the same key or ticket.
 const REPLAYED_HEADER: &str = "x-replayed";
 
 const MILLIS_PER_SECOND: u64 = 1_000;
 
-/// What the gate says.
-pub enum Gate {
-    /// Run the request.
+/// Result of the check for an earlier run.
+pub enum Admission {
+    /// The request may run.
     Run(Permit),
-    /// An earlier request with the same key or ticket was answered so.
+    /// The stored answer of an earlier request with the same key or ticket.
     Answered(Arc<StoredAnswer>),
 }
 
 /// The right to run a request.
 pub enum Permit {
-    /// There is no key or ticket.
+    /// The request has neither a key nor a ticket.
     Free,
-    /// By a claim on the log.
+    /// Granted by a claim on the log.
     Claim(ClaimGuard),
-    /// By a ticket of this daemon.
+    /// Granted by a ticket of this daemon.
     Ticket(TicketGuard),
 }
 
 impl Permit {
-    /// Whether the first byte may still be sent. Asked just before it is.
+    /// Whether the first byte may still be sent. Checked immediately before sending.
     pub fn may_start(&self, now_us: MonoTime) -> bool {
         match self {
             Self::Claim(guard) => guard.may_start(now_us),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The request was answered.
+    /// Records that the request was answered.
     pub fn answered(self, answer: Option<StoredAnswer>) {
         match self {
             Self::Free => {}
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The request did not run, or may run again without harm; the key is free.
+    /// Records that the request did not run, or may safely run again; this releases the key.
     pub fn not_run(self) {
         match self {
             Self::Free => {}
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The request may have run.
+    /// Records that the request may have run.
     pub fn unknown(self) {
         match self {
             Self::Free => {}
@@ -81,10 +81,10 @@
         }
     }
 
-    /// Notes how a call to a plain service ended.
+    /// Records the result of a call to a plain service.
     pub fn settle_plain(self, result: &Result<PlainReply, Refusal>) {
         match result {
-            Ok(PlainReply::Whole { status, headers, body }) => {
+            Ok(PlainReply::Buffered { status, headers, body }) => {
                 self.answered(Some(stored(*status, headers, body)));
             }
             Ok(PlainReply::Streamed { .. }) => self.answered(None),
@@ -97,46 +97,46 @@
 }
 
 impl Dispatcher {
-    /// Asks whether a plain request may run.
+    /// Checks whether a plain request may run.
     ///
     /// # Errors
     ///
-    /// A refusal with the outcome that the caller may rely on.
-    pub(super) async fn gate_plain(&self, request: &PlainRequest) -> Result<Gate, Refusal> {
+    /// A refusal that states whether the request may have run.
+    pub(super) async fn admit_plain(&self, request: &PlainRequest) -> Result<Admission, Refusal> {
         let digest = BodyDigest::new(request.method.as_str(), &request.path, &request.body);
-        self.gate(request.request_id, &request.partner, &request.head, digest).await
+        self.admit(request.request_id, &request.partner, &request.head, digest).await
     }
 
-    /// Asks whether a language request may run.
+    /// Checks whether a language request may run.
     ///
     /// # Errors
     ///
-    /// A refusal with the outcome that the caller may rely on.
-    pub(super) async fn gate_language(&self, request: &LanguageRequest) -> Result<Gate, Refusal> {
-        self.gate(request.request_id, &request.partner, &request.head, request.digest).await
+    /// A refusal that states whether the request may have run.
+    pub(super) async fn admit_language(&self, request: &LanguageRequest) -> Result<Admission, Refusal> {
+        self.admit(request.request_id, &request.partner, &request.head, request.digest).await
     }
 
-    /// For how long the key of a request is remembered; `None` without a key.
+    /// For how long the key of a request is kept; `None` when it has no key.
     pub(super) fn key_retention(&self, request: &PlainRequest) -> Option<Millis> {
         request.head.key.as_ref().map(|_| self.claims.retention_ms())
     }
 
-    async fn gate(
+    async fn admit(
         &self,
         request_id: RequestId,
         partner: &PartnerId,
         head: &Head,
         digest: BodyDigest,
-    ) -> Result<Gate, Refusal> {
+    ) -> Result<Admission, Refusal> {
         if let Some(ticket) = &head.ticket {
-            return self.gate_ticket(ticket, partner, digest);
+            return self.admit_ticket(ticket, partner, digest);
         }
         let Some(key) = &head.key else {
-            return Ok(Gate::Run(Permit::Free));
+            return Ok(Admission::Run(Permit::Free));
         };
         match self.claims.begin(request_id, partner, key, digest).await {
-            ClaimDecision::Run(guard) => Ok(Gate::Run(Permit::Claim(guard))),
-            ClaimDecision::Answered(answer) => Ok(Gate::Answered(answer)),
+            ClaimDecision::Run(guard) => Ok(Admission::Run(Permit::Claim(guard))),
+            ClaimDecision::Answered(answer) => Ok(Admission::Answered(answer)),
             ClaimDecision::InProgress => Err(in_progress()),
             ClaimDecision::AnswerGone => Err(answer_gone()),
             ClaimDecision::Unknown => Err(Refusal::unknown(RefusalReason::NoAnswer)),
@@ -147,20 +147,25 @@
         }
     }
 
-    fn gate_ticket(&self, ticket: &Ticket, partner: &PartnerId, digest: BodyDigest) -> Result<Gate, Refusal> {
+    fn admit_ticket(
+        &self,
+        ticket: &Ticket,
+        partner: &PartnerId,
+        digest: BodyDigest,
+    ) -> Result<Admission, Refusal> {
         let decision = match self.tickets.begin(ticket, partner, digest) {
-            TicketUse::Run(guard) => return Ok(Gate::Run(Permit::Ticket(guard))),
+            TicketUse::Run(guard) => return Ok(Admission::Run(Permit::Ticket(guard))),
             TicketUse::Settled(decision) => decision,
         };
         match decision {
-            TicketDecision::Answered(answer) => Ok(Gate::Answered(answer)),
+            TicketDecision::Answered(answer) => Ok(Admission::Answered(answer)),
             TicketDecision::InProgress => Err(in_progress()),
             TicketDecision::AnswerEvicted => Err(answer_gone()),
             TicketDecision::BodyMismatch => Err(Refusal::not_run(RefusalReason::DifferentBody)),
             TicketDecision::Expired | TicketDecision::NotIssued => {
                 Err(Refusal::not_run(RefusalReason::TicketVoid))
             }
-            // The daemon that knows is gone or was not reached, and it may have run the request.
+            // The issuing daemon is gone or was not reached, and it may have run the request.
             TicketDecision::Run
             | TicketDecision::Unknown
             | TicketDecision::OtherHost
@@ -169,8 +174,8 @@
     }
 }
 
-/// The request runs for an earlier caller. Of this call nothing ran, but of the key it cannot be said that it
-/// did not run.
+/// Refusal while an earlier request with the same key is running. Nothing ran for this call, but the outcome
+/// of the key cannot be reported as not run.
 fn in_progress() -> Refusal {
     Refusal::unknown(RefusalReason::InProgress).retry_after(Millis(MILLIS_PER_SECOND))
 }
@@ -187,7 +192,7 @@
     StoredAnswer { status: status.as_u16(), headers: headers.collect(), body: body.to_vec() }
 }
 
-/// The answer that an earlier caller got, for a later one.
+/// Builds a response from the stored answer of an earlier request.
 pub fn replay(request_id: RequestId, answer: &StoredAnswer) -> Response<AnswerBody> {
     let body = Full::new(Bytes::copy_from_slice(&answer.body));
     let mut response = Response::new(body.map_err(|never| match never {}).boxed_unsync());
@@ -208,7 +213,7 @@
     response
 }
 
-/// Tells a caller for how long its key is remembered.
-pub fn put_retention(headers: &mut HeaderMap, retention_ms: Millis) {
+/// Adds the header that tells a caller for how long its key is kept.
+pub fn insert_retention(headers: &mut HeaderMap, retention_ms: Millis) {
     headers.insert(RETENTION_HEADER, HeaderValue::from(retention_ms.0 / MILLIS_PER_SECOND));
 }
--- a/crates/router/src/dispatch/demand.rs
+++ b/crates/router/src/dispatch/demand.rs
@@ -1,4 +1,4 @@
-//! Which models are asked for, for the planner that loads them.
+//! Counts requests per model, for the planner that loads models.
 
 use std::collections::HashMap;
 
@@ -8,9 +8,9 @@
 
 use crate::external::StoredModel;
 
-/// Names counted between two looks. Callers choose the names, and a flood of them must not take memory; the
-/// models in use are some tens.
-const NAMES_MAX: usize = 256;
+/// Models counted between two calls of [`Demand::take`]. Callers choose the names, so a flood of them must
+/// not use up memory; some tens of models are in use.
+const MAX_MODELS: usize = 256;
 
 /// Counts arrivals by model.
 #[derive(Debug, Default)]
@@ -19,17 +19,17 @@
 }
 
 impl Demand {
-    /// A request asks for `model`, whether any engine serves it or not.
-    pub fn note(&self, model: &ModelId) {
+    /// Counts a request for `model`, whether or not any engine serves it.
+    pub fn record(&self, model: &ModelId) {
         let mut arrivals = self.arrivals.lock();
         if let Some(count) = arrivals.get_mut(model) {
             *count += 1;
-        } else if arrivals.len() < NAMES_MAX {
+        } else if arrivals.len() < MAX_MODELS {
             arrivals.insert(model.clone(), 1);
         }
     }
 
-    /// The demand for the models that the store holds, counted since the last time this was asked.
+    /// Returns the demand for the `stored` models since the last call, and resets the counts.
     pub fn take(&self, stored: &[StoredModel]) -> Vec<ModelDemand> {
         let arrivals = std::mem::take(&mut *self.arrivals.lock());
         let demand = stored.iter().map(|stored| ModelDemand {
--- a/crates/router/src/dispatch/forward.rs
+++ b/crates/router/src/dispatch/forward.rs
@@ -1,7 +1,7 @@
-//! Requests whose ticket another daemon gave: only that daemon may run them, so they are passed on to it.
+//! Forwards requests whose ticket was issued by another daemon, because only the issuer may run them.
 //!
-//! The platform's balancer takes callers to any host. When the holder cannot be reached nobody else may say
-//! that the request did not run: an earlier try may have reached it.
+//! The platform's balancer routes callers to any host. When the issuer is unreachable, no other daemon can
+//! say that the request did not run: an earlier attempt may have reached the issuer.
 
 use std::time::Duration;
 
@@ -11,51 +11,53 @@
 use http_body_util::{BodyExt, Full};
 
 use super::Dispatcher;
-use crate::backend::{Trust, strip_connection_headers, uri};
+use crate::backend::{ConnectionReuse, strip_hop_by_hop_headers, uri};
 use crate::callers::{AnswerBody, BodyBroken, Refusal, RefusalReason};
 
-/// Marks a request that was passed on, so that two daemons with different lists never pass it in a circle.
+/// Marks a forwarded request, so that daemons with different host lists never forward it in a loop.
 const FORWARDED_HEADER: &str = "x-forwarded-by-host";
 
-/// Wait for the head of the holder's answer: the longest that a plain call or a first token may take.
-const HOLDER_TIMEOUT: Duration = Duration::from_mins(1);
+/// Time-out for the head of the issuer's answer: the longest time that a plain call or a first token may
+/// take.
+const ISSUER_TIMEOUT: Duration = Duration::from_mins(1);
 
 impl Dispatcher {
-    /// Whether a request with `ticket` has to be passed on.
-    pub fn is_elsewhere(&self, ticket: &Ticket) -> bool {
+    /// Whether `ticket` was issued by another daemon, so that its request has to be forwarded.
+    pub fn is_for_other_daemon(&self, ticket: &Ticket) -> bool {
         ticket.host != self.host
     }
 
-    /// Passes a request on to the daemon that gave its ticket.
+    /// Forwards a request to the daemon that issued its ticket.
     ///
     /// # Errors
     ///
-    /// A refusal whose outcome is unknown when the holder was not reached.
+    /// A refusal with an unknown outcome when the issuer was not reached.
     pub async fn forward(
         &self,
         ticket: &Ticket,
         parts: request::Parts,
         body: Bytes,
     ) -> Result<Response<AnswerBody>, Refusal> {
-        let void = Refusal::unknown(RefusalReason::TicketVoid);
+        let ticket_void = Refusal::unknown(RefusalReason::TicketVoid);
         if parts.headers.contains_key(FORWARDED_HEADER) {
-            return Err(void);
+            return Err(ticket_void);
         }
         let listing = self.directory.listing();
-        let holder = listing.entry_hosts.iter().find(|entry| entry.id == ticket.host).ok_or(void)?;
+        let issuer = listing.entry_hosts.iter().find(|entry| entry.id == ticket.host).ok_or(ticket_void)?;
         let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
         let mut headers = parts.headers;
-        strip_connection_headers(&mut headers);
+        strip_hop_by_hop_headers(&mut headers);
         headers.remove(header::CONTENT_LENGTH);
         headers.remove(header::HOST);
-        headers.insert(FORWARDED_HEADER, HeaderValue::try_from(self.host.as_str()).map_err(|_| void)?);
+        headers.insert(FORWARDED_HEADER, HeaderValue::try_from(self.host.as_str()).map_err(|_| ticket_void)?);
         let mut request = Request::new(Full::new(body));
         *request.method_mut() = parts.method;
-        *request.uri_mut() = uri(holder.callers_address, path).map_err(|_| void)?;
+        *request.uri_mut() = uri(issuer.callers_address, path).map_err(|_| ticket_void)?;
         *request.headers_mut() = headers;
-        let answer = self.http.send(Trust::Fresh, request, HOLDER_TIMEOUT).await.map_err(|_| void)?;
+        let answer =
+            self.http.send(ConnectionReuse::Fresh, request, ISSUER_TIMEOUT).await.map_err(|_| ticket_void)?;
         let (mut parts, body) = answer.into_parts();
-        strip_connection_headers(&mut parts.headers);
+        strip_hop_by_hop_headers(&mut parts.headers);
         Ok(Response::from_parts(parts, body.map_err(|_| BodyBroken).boxed_unsync()))
     }
 }
--- a/crates/router/src/dispatch/hub.rs
+++ b/crates/router/src/dispatch/hub.rs
@@ -1,8 +1,8 @@
-//! Where the daemon's scheduler meets the tasks that carry its decisions out.
+//! Connects the language scheduler to the tasks that carry out its decisions.
 //!
-//! The scheduler is one state machine for all requests of this daemon. It sits behind a lock that is held for
-//! the microseconds of one decision; nothing that can wait happens under it. Each open request has a task
-//! with an inbox for the scheduler's actions.
+//! The scheduler is one state machine for all language requests of this daemon. The lock around it is held
+//! only for the microseconds of one decision, and nothing blocks or awaits while it is held. Each open
+//! request has a task, which receives the scheduler's actions through a channel.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,14 +14,14 @@
 use tokio::sync::mpsc;
 
 use super::Releases;
-use super::alarm::Alarm;
+use super::wake_timer::WakeTimer;
 use crate::clock;
 use crate::slot_route::SlotRoute;
 
 /// A request that the scheduler has not ended.
 #[derive(Debug)]
 struct Open {
-    steps: mpsc::UnboundedSender<Action>,
+    actions_sender: mpsc::UnboundedSender<Action>,
     attempt: Attempt,
 }
 
@@ -32,16 +32,16 @@
     actions: Vec<Action>,
 }
 
-/// The scheduler and the inboxes of the open requests.
+/// The scheduler and the action channels of the open requests.
 #[derive(Debug)]
 pub struct Hub {
     state: Mutex<State>,
     route: SlotRoute,
     releases: Arc<Releases>,
-    alarm: Alarm,
+    wake_timer: WakeTimer,
 }
 
-/// What is left to do after a decision, outside the lock.
+/// Effects of a decision that are carried out after the lock is released.
 #[derive(Debug, Default)]
 struct Effects {
     messages: Vec<SlotMessage>,
@@ -55,28 +55,28 @@
 }
 
 impl Hub {
-    /// Makes a hub whose scheduler draws its random choices from `seed`.
+    /// Creates a hub whose scheduler makes its random choices from `seed`.
     pub fn new(settings: SchedulerSettings, seed: u64, route: SlotRoute, releases: Arc<Releases>) -> Self {
         let state =
             State { scheduler: Scheduler::new(settings, seed), open: HashMap::new(), actions: Vec::new() };
-        Self { state: Mutex::new(state), route, releases, alarm: Alarm::new() }
+        Self { state: Mutex::new(state), route, releases, wake_timer: WakeTimer::new() }
     }
 
-    /// Takes a request in. Its actions arrive on the returned inbox, which closes when it has ended.
+    /// Adds a request. Its actions arrive on the returned channel, which closes when the request has ended.
     pub fn arrive(&self, arrival: Arrival) -> mpsc::UnboundedReceiver<Action> {
-        let (steps, inbox) = mpsc::unbounded_channel();
-        let open = Open { steps, attempt: Attempt::default() };
+        let (actions_sender, inbox) = mpsc::unbounded_channel();
+        let open = Open { actions_sender, attempt: Attempt::default() };
         self.state.lock().open.insert(arrival.request_id, open);
         self.feed(Event::Arrive(arrival));
         inbox
     }
 
-    /// Ends what [`Hub::arrive`] began; late actions for the request find nothing.
+    /// Removes a request that [`Hub::arrive`] added; later actions for it are dropped.
     pub fn close(&self, request_id: RequestId) {
         self.state.lock().open.remove(&request_id);
     }
 
-    /// Tells the scheduler something and carries out what it decides.
+    /// Passes an event to the scheduler and carries out the resulting actions.
     pub fn feed(&self, event: Event) {
         let mut effects = Effects::default();
         {
@@ -84,34 +84,34 @@
             let state = &mut *state;
             state.scheduler.handle(clock::now(), event, &mut state.actions);
             for action in state.actions.drain(..) {
-                route(&mut state.open, action, &mut effects, &self.alarm);
+                apply(&mut state.open, action, &mut effects, &self.wake_timer);
             }
         }
         for message in effects.messages {
-            self.route.to_watcher(message);
+            self.route.send_to_watcher(message);
         }
         for release in effects.releases {
             self.releases.release(&release.server, release.attempt_id);
         }
     }
 
-    /// What the scheduler counted.
+    /// The scheduler's counters.
     pub fn counters(&self) -> Counters {
         *self.state.lock().scheduler.counters()
     }
 
-    /// Requests that wait for a server.
+    /// Number of requests that wait for a server.
     pub fn waiting_requests(&self) -> usize {
         self.state.lock().scheduler.waiting_len()
     }
 
-    /// Lets time pass for the scheduler, for as long as the daemon runs.
+    /// Passes ticks to the scheduler at the times it asks for. Runs until the daemon stops.
     pub async fn run_timers(&self) {
-        self.alarm.run(|| self.feed(Event::Tick)).await;
+        self.wake_timer.run(|| self.feed(Event::Tick)).await;
     }
 }
 
-fn route(open: &mut HashMap<RequestId, Open>, action: Action, effects: &mut Effects, alarm: &Alarm) {
+fn apply(open: &mut HashMap<RequestId, Open>, action: Action, effects: &mut Effects, wake_timer: &WakeTimer) {
     match action {
         Action::Send(message) => effects.messages.push(message),
         Action::Cancel { request_id, server } => {
@@ -120,7 +120,7 @@
                 effects.releases.push(Release { server, attempt_id });
             }
         }
-        Action::Wake { at_us } => alarm.set(at_us),
+        Action::Wake { at_us } => wake_timer.set(at_us),
         Action::StartPrefill { request_id, attempt, .. } => {
             if let Some(open) = open.get_mut(&request_id) {
                 open.attempt = attempt;
@@ -136,7 +136,7 @@
 
 fn deliver(open: &HashMap<RequestId, Open>, request_id: RequestId, action: Action) {
     if let Some(open) = open.get(&request_id) {
-        // A task that has ended needs no more steps.
-        let _ = open.steps.send(action);
+        // Sending fails only when the task has ended; it needs no more actions then.
+        let _ = open.actions_sender.send(action);
     }
 }
--- a/crates/router/src/dispatch/language.rs
+++ b/crates/router/src/dispatch/language.rs
@@ -1,4 +1,4 @@
-//! One request for a model: carries out the scheduler's steps, from prefill to the last token.
+//! Runs one request for a model: carries out the scheduler's actions from prefill to the last token.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -11,30 +11,30 @@
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
+use super::at_most_once::{Admission, Permit};
 use super::observe::Observed;
-use super::once::{Gate, Permit};
 use super::{AnswerPart, Dispatcher, LanguageTarget, prefix};
 use crate::backend::{
-    CallFailure, DecodeCall, EngineFailure, ImportCall, Imported, PrefillCall, Prefilled, StreamPart,
-    TokenStream, Trust,
+    CallFailure, ConnectionReuse, DecodeCall, EngineFailure, ImportCall, Imported, PrefillCall, Prefilled,
+    StreamPart, TokenStream,
 };
 use crate::callers::{LanguageRequest, Outcome, Refusal, RefusalReason};
 use crate::clock;
 
-/// Wait for an engine's answer to a prefill or import on a pooled connection before it is asked again on a new
-/// one as well. A connection that was forgotten in between stays silent; the engine joins the second call to
-/// the same work, so asking again costs one round trip. Below the scheduler's shortest patience, which would
-/// do the whole work again elsewhere.
-const ASK_AGAIN_AFTER: Duration = Duration::from_millis(250);
+/// Time after which a prefill or import call without an answer is repeated on a new connection, in parallel
+/// with the first. A connection whose state was lost by a middlebox stays silent. The engine joins the
+/// second call to the same work, so the repetition costs one round trip. Shorter than the scheduler's
+/// shortest time-out, which repeats the whole work on another engine.
+const HEDGE_DELAY: Duration = Duration::from_millis(250);
 
-/// The longest that any call may take. The scheduler's own timeouts, which know the work, come first; this
-/// bound only keeps a lost task from living for ever.
-const CALL_LIMIT_MS: Millis = Millis(120_000);
+/// Upper bound of any call. The scheduler's own time-outs depend on the amount of work and expire first;
+/// this one only keeps an orphaned task from living forever.
+const CALL_TIMEOUT_MS: Millis = Millis(120_000);
 
-/// Time between two notes to the scheduler of how far an answer has come.
+/// Interval at which the scheduler is told how many tokens were sent.
 const PROGRESS_PERIOD_MS: Millis = Millis(250);
 
-/// What the task of a request waits for.
+/// The next event that the task of a request handles.
 enum Next {
     Step(Action),
     Done(Event),
@@ -47,67 +47,67 @@
 /// How a request ended.
 #[derive(Clone, Copy)]
 enum Ended {
-    /// Its caller has the whole answer.
+    /// The caller has the complete answer.
     Answered,
-    /// Its caller was told that there is none, or no more of it.
+    /// The caller was told that there is no answer, or that it ends early.
     Refused(Outcome),
-    /// Its caller has left.
+    /// The caller has left.
     Left,
 }
 
-struct Drive {
+struct RequestTask {
     dispatcher: Arc<Dispatcher>,
     request: LanguageRequest,
     parts: mpsc::Sender<AnswerPart>,
     observed: Observed,
-    /// Fires when the caller takes nothing any more.
-    gone: CancellationToken,
+    /// Cancelled when the caller has not read any of its answer for the stall time-out.
+    stalled: CancellationToken,
     /// Text sent so far.
     generated: String,
     /// Tokens sent so far.
     sent_tokens: u64,
 }
 
-/// Runs a request until its answer is whole, it is refused, or its caller has left.
-pub async fn drive(
+/// Runs a request until its answer is complete, it is refused, or its caller has left.
+pub async fn run_request(
     dispatcher: Arc<Dispatcher>,
     request: LanguageRequest,
     target: LanguageTarget,
     parts: mpsc::Sender<AnswerPart>,
 ) {
     let observed = dispatcher.observer.language(&request, target, clock::now());
-    let gate = dispatcher.gate_language(&request).await;
-    let mut drive = Drive {
+    let admission = dispatcher.admit_language(&request).await;
+    let mut task = RequestTask {
         dispatcher,
         request,
         parts,
         observed,
-        gone: CancellationToken::new(),
+        stalled: CancellationToken::new(),
         generated: String::new(),
         sent_tokens: 0,
     };
-    match gate {
-        Ok(Gate::Run(permit)) => {
-            let ended = drive.run(target).await;
-            drive.settle(permit, ended);
+    match admission {
+        Ok(Admission::Run(permit)) => {
+            let ended = task.run(target).await;
+            task.settle(permit, ended);
         }
-        Ok(Gate::Answered(answer)) => drive.replay(&answer).await,
+        Ok(Admission::Answered(answer)) => task.replay(&answer).await,
         Err(refusal) => {
-            drive.refuse(refusal).await;
+            task.refuse(refusal).await;
         }
     }
 }
 
-/// The scheduler's next step, or the caller's departure.
+/// Waits for the scheduler's next action, or until the caller leaves.
 async fn next_step(
     steps: &mut mpsc::UnboundedReceiver<Action>,
-    departure: &mpsc::Sender<AnswerPart>,
-    gone: &CancellationToken,
+    disconnect: &mpsc::Sender<AnswerPart>,
+    stalled: &CancellationToken,
 ) -> Next {
     tokio::select! {
         biased;
-        () = gone.cancelled() => Next::Left,
-        () = departure.closed() => Next::Left,
+        () = stalled.cancelled() => Next::Left,
+        () = disconnect.closed() => Next::Left,
         action = steps.recv() => action.map_or(Next::Left, Next::Step),
     }
 }
@@ -126,20 +126,20 @@
     }
 }
 
-impl Drive {
+impl RequestTask {
     async fn run(&mut self, target: LanguageTarget) -> Ended {
         let hub = Arc::clone(&self.dispatcher.hub);
         let request_id = self.request.request_id;
-        let (departure, gone) = (self.parts.clone(), self.gone.clone());
+        let (disconnect, stalled) = (self.parts.clone(), self.stalled.clone());
         let mut steps = hub.arrive(arrival_of(&self.request, target));
-        let mut next = next_step(&mut steps, &departure, &gone).await;
+        let mut next = next_step(&mut steps, &disconnect, &stalled).await;
         while let Next::Step(action) = next {
             next = {
                 let mut work = pin!(self.step(action));
                 tokio::select! {
                     biased;
-                    // A newer step, or the caller's departure, puts an end to the present one.
-                    newer = next_step(&mut steps, &departure, &gone) => newer,
+                    // A newer action, or the caller's departure, cancels the current step.
+                    newer = next_step(&mut steps, &disconnect, &stalled) => newer,
                     done = &mut work => done,
                 }
             };
@@ -149,7 +149,7 @@
                 next = if finished {
                     Next::Ended(Ended::Answered)
                 } else {
-                    next_step(&mut steps, &departure, &gone).await
+                    next_step(&mut steps, &disconnect, &stalled).await
                 };
             }
         }
@@ -157,14 +157,15 @@
             Next::Ended(ended) => ended,
             Next::Left | Next::Step(_) | Next::Done(_) => Ended::Left,
         };
-        // Where the scheduler ended the request itself it finds nothing to end here.
+        // Has no effect when the scheduler has ended the request itself.
         hub.feed(Event::CallerLeft { request_id });
         hub.close(request_id);
         ended
     }
 
-    /// Notes how the request ended. A language request leaves no trace in the world but its answer, so unless
-    /// its caller said that it may not run again its key is free for another try when there is none.
+    /// Records how the request ended. A language request has no effect besides its answer, so when it got no
+    /// answer its key is released for another attempt, unless the caller said that the request must not run
+    /// again.
     fn settle(mut self, permit: Permit, ended: Ended) {
         match ended {
             Ended::Answered => {
@@ -175,7 +176,7 @@
             Ended::Refused(outcome) if outcome == Outcome::NotRun || !self.at_most_once() => permit.not_run(),
             Ended::Refused(_) => permit.unknown(),
             Ended::Left => {
-                self.observed.left(clock::now());
+                self.observed.caller_left(clock::now());
                 if self.at_most_once() {
                     permit.unknown();
                 } else {
@@ -189,18 +190,18 @@
         self.request.head.marked_repeatable == Some(false)
     }
 
-    /// Gives the answer that an earlier request with the same key got.
+    /// Sends the stored answer of an earlier request with the same key.
     async fn replay(&mut self, answer: &StoredAnswer) {
         let text = String::from_utf8_lossy(&answer.body).into_owned();
         let tokens = prefix::estimate_tokens(&answer.body);
         self.observed.answered(clock::now(), Tokens::ZERO);
         for part in [AnswerPart::Token { text }, AnswerPart::Done { tokens: tokens.0 }] {
-            // A caller who has left needs no answer.
+            // Sending fails only when the caller has left.
             let _ = self.parts.send(part).await;
         }
     }
 
-    /// Carries out one step.
+    /// Carries out one action of the scheduler.
     async fn step(&mut self, action: Action) -> Next {
         match action {
             Action::StartPrefill { attempt, server, priority, restart_cause, .. } => {
@@ -219,7 +220,7 @@
             Action::Refuse { reason, retry_after_ms, .. } => {
                 self.refuse(Refusal::not_run(reason.into()).retry_after(retry_after_ms)).await
             }
-            // Work had begun, so nobody may say that the request did not run.
+            // Work had started, so the outcome cannot be reported as not run.
             Action::Fail { .. } => {
                 self.refuse(Refusal::unknown(RefusalReason::RetriesExhausted).retry_after(RETRY_AFTER_MS))
                     .await
@@ -263,9 +264,9 @@
             generated: self.generated.clone(),
             model: self.request.model.clone(),
             priority,
-            timeout_ms: CALL_LIMIT_MS,
+            timeout_ms: CALL_TIMEOUT_MS,
         };
-        match self.ask_prefill(server, call).await {
+        match self.call_prefill(server, call).await {
             Ok(done) => {
                 self.observed.prefilled(done.prompt_tokens.saturating_sub(done.cached_tokens));
                 Event::PrefillDone {
@@ -280,25 +281,25 @@
         }
     }
 
-    async fn ask_prefill(
+    async fn call_prefill(
         &self,
         server: &BackendServerId,
         call: PrefillCall,
     ) -> Result<Prefilled, EngineFailure> {
         let to = self.dispatcher.directory.address_of(server).ok_or(CallFailure::NotSent)?;
         let engines = &self.dispatcher.engines;
-        let first = engines.prefill(to, call.clone(), Trust::Pooled);
-        on_second_connection(first, || engines.prefill(to, call, Trust::Fresh)).await
+        let first = engines.prefill(to, call.clone(), ConnectionReuse::Pooled);
+        hedge_on_new_connection(first, || engines.prefill(to, call, ConnectionReuse::Fresh)).await
     }
 
     async fn import(&mut self, attempt: Attempt, route: ImportRoute) -> Event {
-        match self.ask_import(attempt, &route).await {
+        match self.call_import(attempt, &route).await {
             Ok(_) => Event::Imported { request_id: self.request.request_id, attempt },
             Err(failure) => self.failed(attempt, WorkStage::Import, &route.server, failure),
         }
     }
 
-    async fn ask_import(&self, attempt: Attempt, route: &ImportRoute) -> Result<Imported, EngineFailure> {
+    async fn call_import(&self, attempt: Attempt, route: &ImportRoute) -> Result<Imported, EngineFailure> {
         let to = self.dispatcher.directory.address_of(&route.server).ok_or(CallFailure::NotSent)?;
         let call = ImportCall {
             attempt_id: self.attempt_id(attempt),
@@ -306,15 +307,15 @@
             source: self.dispatcher.directory.address_of(&route.source).ok_or(EngineFailure::Gone)?,
             priority: route.priority,
             rate_bytes_per_s: route.rate_bytes_per_s,
-            timeout_ms: CALL_LIMIT_MS,
+            timeout_ms: CALL_TIMEOUT_MS,
         };
         let engines = &self.dispatcher.engines;
-        let first = engines.import(to, call.clone(), Trust::Pooled);
-        on_second_connection(first, || engines.import(to, call, Trust::Fresh)).await
+        let first = engines.import(to, call.clone(), ConnectionReuse::Pooled);
+        hedge_on_new_connection(first, || engines.import(to, call, ConnectionReuse::Fresh)).await
     }
 
-    /// Streams tokens to the caller. After a failure the scheduler has the stream resumed by index, here on a
-    /// new connection or elsewhere behind a new prefill: nothing is missing and nothing is sent twice.
+    /// Streams tokens to the caller. After a failure the scheduler resumes the stream by index, either on a
+    /// new connection or on another engine after a new prefill, so that no token is lost or sent twice.
     async fn decode(
         &mut self,
         attempt: Attempt,
@@ -343,23 +344,28 @@
             max_tokens: self.request.max_tokens,
             from_index: self.sent_tokens,
         };
-        let trust = if resume { Trust::Fresh } else { Trust::Pooled };
-        let silence = Duration::from(token_timeout_ms);
-        let opened = tokio::time::timeout(silence, self.dispatcher.engines.decode(to, call, trust)).await;
+        let reuse = if resume { ConnectionReuse::Fresh } else { ConnectionReuse::Pooled };
+        let token_timeout = Duration::from(token_timeout_ms);
+        let opened =
+            tokio::time::timeout(token_timeout, self.dispatcher.engines.decode(to, call, reuse)).await;
         let mut stream = opened.map_err(|_elapsed| CallFailure::Timeout)??;
-        Ok(self.forward(&mut stream, silence).await?)
+        Ok(self.forward(&mut stream, token_timeout).await?)
     }
 
-    async fn forward(&mut self, stream: &mut TokenStream, silence: Duration) -> Result<(), CallFailure> {
-        let mut noted_us = clock::now();
+    async fn forward(
+        &mut self,
+        stream: &mut TokenStream,
+        token_timeout: Duration,
+    ) -> Result<(), CallFailure> {
+        let mut reported_us = clock::now();
         loop {
-            match stream.next(silence).await? {
-                // A resumed stream may begin before the index asked for.
+            match stream.next(token_timeout).await? {
+                // A resumed stream may start before the requested index.
                 StreamPart::Token { index, .. } if index < self.sent_tokens => {}
                 StreamPart::Token { index, text } if index == self.sent_tokens => {
                     self.generated.push_str(&text);
                     self.sent_tokens += 1;
-                    self.note_progress(&mut noted_us);
+                    self.report_progress(&mut reported_us);
                     self.send(AnswerPart::Token { text }).await;
                 }
                 StreamPart::Done { tokens, .. } if tokens == self.sent_tokens => {
@@ -371,25 +377,25 @@
         }
     }
 
-    fn note_progress(&mut self, noted_us: &mut MonoTime) {
+    fn report_progress(&mut self, reported_us: &mut MonoTime) {
         let now_us = clock::now();
         let request_id = self.request.request_id;
         if self.sent_tokens == 1 {
             self.observed.first_token(now_us);
             self.dispatcher.hub.feed(Event::FirstToken { request_id });
-        } else if now_us >= *noted_us + PROGRESS_PERIOD_MS {
-            *noted_us = now_us;
+        } else if now_us >= *reported_us + PROGRESS_PERIOD_MS {
+            *reported_us = now_us;
             self.dispatcher.hub.feed(Event::Progress { request_id, tokens: Tokens(self.sent_tokens) });
         }
     }
 
-    /// Passes a part on; waits while the caller is slow, and the engine with it. A caller whose connection was
-    /// forgotten on the way looks like a slow one for ever and would hold a decode slot as long; after a while
-    /// without taking anything it counts as gone.
+    /// Sends a part of the answer. While the caller is slow this waits, which also slows the engine down. A
+    /// caller whose connection state was lost by a middlebox looks like a slow caller forever and would hold
+    /// a decode slot for that time, so a caller that reads nothing for the stall time-out is treated as gone.
     async fn send(&self, part: AnswerPart) {
-        let patience = Duration::from(self.dispatcher.stall_timeout_ms);
-        if tokio::time::timeout(patience, self.parts.send(part)).await != Ok(Ok(())) {
-            self.gone.cancel();
+        let timeout = Duration::from(self.dispatcher.stall_timeout_ms);
+        if tokio::time::timeout(timeout, self.parts.send(part)).await != Ok(Ok(())) {
+            self.stalled.cancel();
             std::future::pending::<()>().await;
         }
     }
@@ -402,7 +408,7 @@
     }
 }
 
-/// The way of a KV cache.
+/// Source, destination and rate of a KV cache transfer.
 struct ImportRoute {
     source: BackendServerId,
     server: BackendServerId,
@@ -410,12 +416,13 @@
     rate_bytes_per_s: BytesPerSecond,
 }
 
-/// Told to a caller whose request failed on several servers: by then the scheduler has closed the bad ones.
+/// Retry delay for a caller whose request failed on several servers: by then the scheduler has taken the
+/// faulty servers out of use.
 const RETRY_AFTER_MS: Millis = Millis(1_000);
 
-/// Waits for `first`, and when it takes long or its connection breaks also for a second call on a new
-/// connection; the first answer counts.
-async fn on_second_connection<Reply, First, Second, Make>(
+/// Awaits `first`. When it takes longer than [`HEDGE_DELAY`] or its connection breaks, makes a second call
+/// on a new connection as well, and returns the first answer.
+async fn hedge_on_new_connection<Reply, First, Second, Make>(
     first: First,
     second: Make,
 ) -> Result<Reply, EngineFailure>
@@ -425,7 +432,7 @@
     Make: FnOnce() -> Second,
 {
     let mut first = pin!(first);
-    match tokio::time::timeout(ASK_AGAIN_AFTER, &mut first).await {
+    match tokio::time::timeout(HEDGE_DELAY, &mut first).await {
         Ok(Err(EngineFailure::Call(CallFailure::Broken))) => second().await,
         Ok(answered) => answered,
         Err(_elapsed) => {
--- a/crates/router/src/dispatch/mod.rs
+++ b/crates/router/src/dispatch/mod.rs
@@ -1,17 +1,18 @@
-//! Carries requests through backend servers and sees to it that each ends in one of three outcomes.
+//! Dispatches requests to backend servers. Every request ends with exactly one outcome: answered, not run or
+//! unknown.
 
-pub(crate) mod alarm;
-pub(crate) mod ask;
+mod at_most_once;
 mod demand;
 mod forward;
 mod hub;
 mod language;
+pub(crate) mod loan_request;
 mod observe;
-mod once;
 mod plain;
 mod plain_hub;
 mod prefix;
 mod release;
+pub(crate) mod wake_timer;
 
 use std::sync::Arc;
 
@@ -22,88 +23,88 @@
 use tokio::sync::mpsc;
 use tokio_util::task::TaskTracker;
 
-use crate::backend::{BackendHttp, EngineEdge, PlainEdge};
+use crate::backend::{BackendHttp, EngineClient, PlainClient};
 use crate::callers::{LanguageRequest, Refusal, RefusalReason};
 use crate::claims::ClaimsHandle;
 use crate::clock;
 use crate::directory::Directory;
 use crate::tickets::Tickets;
 
-pub use ask::{Asks, ServiceAsk};
 pub use demand::Demand;
 pub use hub::Hub;
+pub use loan_request::{LoanRequestSender, ServiceLoanRequest};
 pub use observe::{Observed, Observer};
 pub use plain_hub::PlainHub;
 pub use release::Releases;
 
-/// Tokens that wait for a slow caller. Past this the engine's stream is not read, and the engine stops
-/// generating for this caller instead of the router holding the answer.
-const PARTS_IN_FLIGHT: usize = 64;
+/// Answer parts buffered for a slow caller. When the buffer is full the engine's stream is not read, so the
+/// engine stops generating for this caller and the router does not hold the answer in memory.
+const MAX_BUFFERED_PARTS: usize = 64;
 
-/// A part of an answer on its way to the caller.
+/// A part of an answer that is sent to the caller.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum AnswerPart {
     /// The next token.
     Token {
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     Done {
-        /// Its length in tokens.
+        /// Number of tokens in the answer.
         tokens: u64,
     },
-    /// There is no answer, or no more of it.
+    /// The request was refused, or its answer ended before it was complete.
     Refused(Refusal),
 }
 
-/// Targets of a class of language requests.
+/// Latency targets of a class of language requests, from the published configuration.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LanguageTarget {
-    /// From arrival to the first token.
+    /// Upper bound from arrival to the first token.
     pub first_token_ms: Millis,
-    /// Between tokens, on average.
+    /// Upper bound of the mean time between tokens.
     pub per_token_ms: Millis,
 }
 
-/// Carries requests out.
+/// Runs callers' requests on backend servers.
 #[derive(Debug)]
 pub struct Dispatcher {
-    /// The edge towards engines.
-    pub engines: Arc<dyn EngineEdge>,
-    /// The edge towards plain services.
-    pub plain_services: Arc<dyn PlainEdge>,
-    /// The backend servers.
+    /// Client for model engines.
+    pub engines: Arc<dyn EngineClient>,
+    /// Client for plain services.
+    pub plain_services: Arc<dyn PlainClient>,
+    /// The backend servers that are known.
     pub directory: Arc<Directory>,
     /// This daemon's host.
     pub host: HostId,
-    /// Calls to other daemons' callers' edge.
+    /// Client for the caller interfaces of other daemons.
     pub http: BackendHttp,
     /// The scheduler of language requests.
     pub hub: Arc<Hub>,
     /// The schedulers of plain services.
     pub plain_hub: Arc<PlainHub>,
-    /// Time for which a caller may take nothing of its answer before it counts as gone.
+    /// Time without reading any of its answer after which a caller counts as gone.
     pub stall_timeout_ms: Millis,
-    /// Which models are asked for.
+    /// Arrivals per model, for the planner that loads models.
     pub demand: Arc<Demand>,
     /// Claims of idempotency keys.
     pub claims: ClaimsHandle,
-    /// Tickets of this daemon.
+    /// Tickets issued by this daemon.
     pub tickets: Tickets,
-    /// Requests under way, for a graceful stop to wait for.
+    /// Running requests; a graceful stop waits for them.
     pub tasks: TaskTracker,
-    /// The traffic threads.
+    /// Runtime of the traffic threads.
     pub runtime: Handle,
-    /// What is noted of requests.
+    /// Records metrics, log lines and recent requests.
     pub observer: Observer,
-    /// Learns which servers are leaving, to tell the other daemons.
+    /// Passes on which servers are leaving, for the other daemons.
     pub spread: mpsc::Sender<SpreadEvent>,
 }
 
 impl Dispatcher {
-    /// Starts a request for a model; the parts of its answer arrive on the returned channel. Dropping the
-    /// channel is the caller's departure.
+    /// Starts a request for a model and returns the channel on which the parts of its answer arrive.
+    /// Dropping the receiver means that the caller has left.
     ///
     /// # Errors
     ///
@@ -113,21 +114,23 @@
         request: LanguageRequest,
         target: LanguageTarget,
     ) -> Result<mpsc::Receiver<AnswerPart>, Refusal> {
-        self.demand.note(&request.model);
+        self.demand.record(&request.model);
         if !self.directory.listing().models.contains(&request.model) {
             return Err(Refusal::not_run(RefusalReason::UnknownModel));
         }
-        let (sender, receiver) = mpsc::channel(PARTS_IN_FLIGHT);
-        self.tasks.spawn_on(language::drive(Arc::clone(self), request, target, sender), &self.runtime);
+        let (sender, receiver) = mpsc::channel(MAX_BUFFERED_PARTS);
+        self.tasks.spawn_on(language::run_request(Arc::clone(self), request, target, sender), &self.runtime);
         Ok(receiver)
     }
 
-    /// Believes a server that it is leaving, and tells the other daemons: the platform's list lags.
+    /// Marks a server as leaving when it says so itself, and tells the other daemons, because the platform's
+    /// list lags behind.
     fn note_leaving(&self, server: &BackendServerId) {
         if self.directory.note_leaving(clock::now(), server) {
-            let saw = SpreadEvent::Observed { server: server.clone(), status: ServerStatus::Leaving };
-            // A sign that does not get through is seen again with the next refusal.
-            let _ = self.spread.try_send(saw);
+            let event = SpreadEvent::Observed { server: server.clone(), status: ServerStatus::Leaving };
+            // When the channel is full the event is dropped; the next refusal by the server produces it
+            // again.
+            let _ = self.spread.try_send(event);
         }
     }
 }
--- a/crates/router/src/dispatch/observe.rs
+++ b/crates/router/src/dispatch/observe.rs
@@ -1,9 +1,9 @@
-//! What is noted of each request: counters, a log line, and a record for `hibiscusvale why`.
+//! Records each request: metrics, a log line, and an entry for `hibiscusvale why`.
 
 use std::sync::Arc;
 
 use hibiscusvale_core::ids::{BackendServerId, ClassName, PartnerId, RequestId};
-use hibiscusvale_core::sched::{FailureCause, RefusalReason as Refused, WasteCause};
+use hibiscusvale_core::sched::{FailureCause, RefusalReason as SchedulerRefusal, WasteCause};
 use hibiscusvale_core::units::{Micros, Millis, MonoTime, Tokens};
 
 use crate::callers::{LanguageRequest, Outcome, PlainRequest, Refusal, RefusalReason};
@@ -46,18 +46,18 @@
     }
 }
 
-impl From<Refused> for RefusalReason {
-    fn from(reason: Refused) -> Self {
+impl From<SchedulerRefusal> for RefusalReason {
+    fn from(reason: SchedulerRefusal) -> Self {
         match reason {
-            Refused::WouldMissTarget => Self::TargetUnreachable,
-            Refused::QueueFull => Self::QueueFull,
-            Refused::DaemonFull => Self::Overloaded,
-            Refused::NoServer | Refused::Unreachable => Self::NoBackendServer,
+            SchedulerRefusal::WouldMissTarget => Self::TargetUnreachable,
+            SchedulerRefusal::QueueFull => Self::QueueFull,
+            SchedulerRefusal::DaemonFull => Self::Overloaded,
+            SchedulerRefusal::NoServer | SchedulerRefusal::Unreachable => Self::NoBackendServer,
         }
     }
 }
 
-/// Notes what happens to requests.
+/// Records what happens to requests.
 #[derive(Clone, Debug)]
 pub struct Observer {
     metrics: Metrics,
@@ -66,7 +66,8 @@
 }
 
 impl Observer {
-    /// An observer that counts in `metrics`, writes to `log` and keeps the latest requests in `recent`.
+    /// Creates an observer that counts in `metrics`, writes to `log` and keeps the latest requests in
+    /// `recent`.
     pub fn new(metrics: Metrics, log: Log, recent: Arc<RecentRequests>) -> Self {
         Self { metrics, log, recent }
     }
@@ -77,7 +78,7 @@
             request.request_id,
             &request.partner,
             &request.head.class,
-            Subject::Language(target),
+            RequestTarget::Language(target),
             now_us,
         )
     }
@@ -88,12 +89,12 @@
             request.request_id,
             &request.partner,
             &request.head.class,
-            Subject::Plain { response_ms },
+            RequestTarget::Plain { response_ms },
             now_us,
         )
     }
 
-    /// A caller's connection was ended for what came on it.
+    /// Counts a connection that was closed because of a fault of the caller.
     pub fn connection_ended<Fault>(&self, fault: Fault)
     where
         Fault: Label,
@@ -101,7 +102,7 @@
         self.metrics.event(fault);
     }
 
-    /// A request was refused before its partner's class was looked at.
+    /// Records a request that was refused before its partner's class was looked up.
     pub fn refused_early(&self, request_id: RequestId, refusal: Refusal) {
         self.metrics.event(refusal.reason);
         let line = RequestLine {
@@ -120,7 +121,7 @@
         request_id: RequestId,
         partner: &PartnerId,
         class: &ClassName,
-        subject: Subject,
+        request_target: RequestTarget,
         now_us: MonoTime,
     ) -> Observed {
         Observed {
@@ -132,7 +133,7 @@
             request_id,
             partner: partner.clone(),
             class: class.clone(),
-            subject,
+            request_target,
             arrived_us: now_us,
             first_token_us: None,
             attempts: 0,
@@ -142,18 +143,19 @@
     }
 }
 
-/// Steps remembered of one request. A request with more has told its story by then.
-const STEPS_MAX: usize = 24;
+/// Steps kept per request. A request with more steps is understood from its first ones.
+const MAX_STEPS: usize = 24;
 
-/// The target that a request is measured by.
+/// The target against which a request is measured.
 #[derive(Clone, Copy, Debug)]
-enum Subject {
+enum RequestTarget {
     Language(LanguageTarget),
     Plain { response_ms: Millis },
 }
 
-/// One request under observation. Ends with exactly one of [`Observed::answered`], [`Observed::refused`] and
-/// [`Observed::left`]; dropped before that, its caller left: its task goes with the connection.
+/// A request under observation. It ends with exactly one of [`Observed::answered`], [`Observed::refused`]
+/// and [`Observed::caller_left`]. Dropping it earlier counts as the caller having left, because the task is
+/// dropped with the connection.
 #[derive(Debug)]
 pub struct Observed {
     metrics: Arc<ClassMetrics>,
@@ -164,11 +166,11 @@
     request_id: RequestId,
     partner: PartnerId,
     class: ClassName,
-    subject: Subject,
+    request_target: RequestTarget,
     arrived_us: MonoTime,
     first_token_us: Option<MonoTime>,
     attempts: u32,
-    /// Prefill work of the present try that has not become tokens yet.
+    /// Tokens prefilled in the current attempt, until its first token is sent.
     prefilled_tokens: Tokens,
     has_ended: bool,
 }
@@ -176,13 +178,13 @@
 impl Drop for Observed {
     fn drop(&mut self) {
         if !self.has_ended {
-            self.left(clock::now());
+            self.caller_left(clock::now());
         }
     }
 }
 
 impl Observed {
-    /// A try begins; `redo` says why there was one before.
+    /// Records the start of a prefill; `restart_cause` is why an earlier attempt had to be repeated.
     pub fn prefill_starts(
         &mut self,
         attempt: u32,
@@ -193,100 +195,100 @@
         if let Some(cause) = restart_cause {
             self.metrics.retried(cause);
             self.log.request_retried(self.request_id, cause);
-            self.waste(cause);
+            self.record_waste(cause);
         }
-        self.step("prefill", Some(server));
+        self.record_step("prefill", Some(server));
     }
 
-    /// A prompt was read.
+    /// Records that `tokens` of a prompt were prefilled.
     pub fn prefilled(&mut self, tokens: Tokens) {
         self.metrics.prefilled(tokens);
         self.prefilled_tokens = tokens;
     }
 
-    /// A KV cache begins to move.
+    /// Records the start of a KV cache transfer.
     pub fn import_starts(&mut self, server: &BackendServerId) {
-        self.step("import", Some(server));
+        self.record_step("import", Some(server));
     }
 
-    /// A token stream begins, or is resumed by index on a new connection.
+    /// Records the start of a token stream, or that it is resumed by index on a new connection.
     pub fn decode_starts(&mut self, server: &BackendServerId, resume: bool) {
         if resume {
             self.metrics.retried(Resumed);
         }
-        self.step(if resume { Resumed.label() } else { "decode" }, Some(server));
+        self.record_step(if resume { Resumed.label() } else { "decode" }, Some(server));
     }
 
-    /// A step at a backend server failed.
+    /// Records that a step at a backend server failed.
     pub fn step_failed(&mut self, server: &BackendServerId, cause: FailureCause) {
         self.metrics.retried(cause);
-        self.step(cause.label(), Some(server));
+        self.record_step(cause.label(), Some(server));
     }
 
-    /// A try at a plain service begins.
-    pub fn tried(&mut self, server: &BackendServerId) {
+    /// Records the start of an attempt at a plain service.
+    pub fn attempt_starts(&mut self, server: &BackendServerId) {
         self.attempts += 1;
-        self.step("call", Some(server));
+        self.record_step("call", Some(server));
     }
 
-    /// The first token goes to the caller.
+    /// Records that the first token is sent to the caller.
     pub fn first_token(&mut self, now_us: MonoTime) {
         self.first_token_us = Some(now_us);
         self.prefilled_tokens = Tokens::ZERO;
         self.metrics.first_token(now_us.since(self.arrived_us));
-        self.step("first-token", None);
+        self.record_step("first-token", None);
     }
 
-    fn step(&mut self, what: &'static str, server: Option<&BackendServerId>) {
-        if self.steps.len() < STEPS_MAX {
+    fn record_step(&mut self, what: &'static str, server: Option<&BackendServerId>) {
+        if self.steps.len() < MAX_STEPS {
             let after_ms = clock::now().since(self.arrived_us).to_millis_ceil();
             self.steps.push(RequestStep { after_ms, what, server: server.cloned() });
         }
     }
 
-    /// The request was answered; `tokens` is zero for a plain one.
+    /// Records that the request was answered; `tokens` is zero for a plain request.
     pub fn answered(&mut self, now_us: MonoTime, tokens: Tokens) {
-        let good = match self.subject {
-            Subject::Language(target) => self.language_targets_met(target, now_us, tokens),
-            Subject::Plain { response_ms } => now_us <= self.arrived_us + response_ms,
+        let met_targets = match self.request_target {
+            RequestTarget::Language(target) => self.language_targets_met(target, now_us, tokens),
+            RequestTarget::Plain { response_ms } => now_us <= self.arrived_us + response_ms,
         };
-        if good {
+        if met_targets {
             self.metrics.met_targets();
         }
         self.metrics.finished(Outcome::Answered);
-        self.log.request_finished(self.line(now_us, Outcome::Answered));
-        self.remember(now_us, Outcome::Answered.label(), None);
+        self.log.request_finished(self.log_line(now_us, Outcome::Answered));
+        self.record_recent(now_us, Outcome::Answered.label(), None);
     }
 
     fn language_targets_met(&self, target: LanguageTarget, now_us: MonoTime, tokens: Tokens) -> bool {
         let Some(first_us) = self.first_token_us else {
             return false;
         };
-        let further = tokens.0.saturating_sub(1);
-        if let Some(per_token_us) = now_us.since(first_us).0.checked_div(further) {
+        let further_tokens = tokens.0.saturating_sub(1);
+        if let Some(per_token_us) = now_us.since(first_us).0.checked_div(further_tokens) {
             self.metrics.per_token(Micros(per_token_us));
         }
-        let allowed_us = Micros::from(target.per_token_ms).0.saturating_mul(further);
+        let allowed_us = Micros::from(target.per_token_ms).0.saturating_mul(further_tokens);
         first_us <= self.arrived_us + target.first_token_ms && now_us.since(first_us).0 <= allowed_us
     }
 
-    /// The request was refused, or ended without an answer.
+    /// Records that the request was refused, or ended without an answer.
     pub fn refused(&mut self, now_us: MonoTime, refusal: Refusal) {
         self.metrics.refused(refusal.reason);
         self.metrics.finished(refusal.outcome);
-        self.log.request_refused(self.line(now_us, refusal.outcome), refusal.reason);
-        self.remember(now_us, refusal.outcome.label(), Some(refusal.reason.label()));
+        self.log.request_refused(self.log_line(now_us, refusal.outcome), refusal.reason);
+        self.record_recent(now_us, refusal.outcome.label(), Some(refusal.reason.label()));
     }
 
-    /// The caller left before the end.
-    pub fn left(&mut self, now_us: MonoTime) {
-        self.waste(WasteCause::CallerLeft);
+    /// Records that the caller left before the request ended.
+    pub fn caller_left(&mut self, now_us: MonoTime) {
+        self.record_waste(WasteCause::CallerLeft);
         self.metrics.finished(CallerLeft);
-        self.log.request_finished(self.line(now_us, CallerLeft));
-        self.remember(now_us, CallerLeft.label(), None);
+        self.log.request_finished(self.log_line(now_us, CallerLeft));
+        self.record_recent(now_us, CallerLeft.label(), None);
     }
 
-    fn remember(&mut self, now_us: MonoTime, outcome: &'static str, refusal: Option<&'static str>) {
+    fn record_recent(&mut self, now_us: MonoTime, outcome: &'static str, refusal: Option<&'static str>) {
         self.has_ended = true;
         self.recent.note(RequestRecord {
             request_id: self.request_id,
@@ -300,14 +302,14 @@
         });
     }
 
-    fn waste(&mut self, cause: WasteCause) {
+    fn record_waste(&mut self, cause: WasteCause) {
         let tokens = std::mem::take(&mut self.prefilled_tokens);
         if tokens > Tokens::ZERO {
             self.metrics.wasted_prefill(cause, tokens);
         }
     }
 
-    fn line<Ending>(&self, now_us: MonoTime, outcome: Ending) -> RequestLine<'_, Ending> {
+    fn log_line<Ending>(&self, now_us: MonoTime, outcome: Ending) -> RequestLine<'_, Ending> {
         RequestLine {
             request_id: self.request_id,
             partner: Some(&self.partner),
@@ -319,7 +321,7 @@
     }
 }
 
-/// A caller who left has no outcome; the request is counted under this label.
+/// Label in place of an outcome for a request whose caller left.
 #[derive(Clone, Copy, Debug)]
 struct CallerLeft;
 
@@ -329,7 +331,7 @@
     }
 }
 
-/// A stream taken up again on a new connection.
+/// Label of a stream that was resumed on a new connection.
 #[derive(Clone, Copy, Debug)]
 struct Resumed;
 
--- a/crates/router/src/dispatch/plain.rs
+++ b/crates/router/src/dispatch/plain.rs
@@ -1,4 +1,4 @@
-//! One request for a plain service. Sent again only on proof that it did not run.
+//! Runs one request for a plain service. It is repeated only when it is proven that it did not run.
 
 use std::sync::Arc;
 
@@ -10,40 +10,42 @@
 use http_body_util::{BodyExt, Full};
 use tokio_util::task::AbortOnDropHandle;
 
-use super::once::{Gate, Permit};
+use super::at_most_once::{Admission, Permit};
 use super::{Dispatcher, Observed};
-use crate::backend::{CallFailure, PlainCall, PlainFailure, PlainReply, Trust};
+use crate::backend::{CallFailure, ConnectionReuse, PlainCall, PlainFailure, PlainReply};
 use crate::callers::{
     AnswerBody, BodyBroken, OUTCOME_HEADER, Outcome, PlainRequest, REQUEST_ID_HEADER, Refusal, RefusalReason,
 };
 use crate::clock;
 
-/// A call waits this many times its target for an instance; beyond, its caller has better come back.
-const PATIENCE_FACTOR: u64 = 4;
+/// Multiple of its response target that a call waits for an instance. A caller that would wait longer is
+/// told to retry later.
+const MAX_WAIT_FACTOR: u64 = 4;
 
-/// Instances that one call is sent to at most.
-const ATTEMPTS_MAX: u32 = 3;
+/// Upper bound of the instances that one call is sent to.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// Bounds of that wait: a target of 1 ms must not refuse everything, one of an hour must not hold memory.
-const PATIENCE_RANGE_MS: (u64, u64) = (1_000, 30_000);
+/// Range of the wait for an instance, in milliseconds: a target of 1 ms must not cause every request to be
+/// refused, and one of an hour must not hold memory for that long.
+const MAX_WAIT_RANGE_MS: (u64, u64) = (1_000, 30_000);
 
 impl Dispatcher {
     /// Runs a request for a plain service.
     ///
     /// # Errors
     ///
-    /// A refusal that says whether the request may have run.
+    /// A refusal that states whether the request may have run.
     pub async fn plain(
         self: &Arc<Self>,
         request: PlainRequest,
         response_ms: Millis,
     ) -> Result<Response<AnswerBody>, Refusal> {
         let lost = Refusal::unknown(RefusalReason::NoAnswer);
-        let detached = request.runs_at_most_once();
+        let at_most_once = request.runs_at_most_once();
         let task = self.tasks.spawn_on(run(Arc::clone(self), request, response_ms), &self.runtime);
-        if detached {
-            // A call that may not be repeated runs to its end although its caller has left: the answer is
-            // kept for the caller's next try with the same key.
+        if at_most_once {
+            // A call that must not be repeated runs to its end even when its caller has left: the answer is
+            // stored for the caller's next attempt with the same key.
             return task.await.unwrap_or(Err(lost));
         }
         AbortOnDropHandle::new(task).await.unwrap_or(Err(lost))
@@ -56,7 +58,7 @@
     response_ms: Millis,
 ) -> Result<Response<AnswerBody>, Refusal> {
     let mut observed = dispatcher.observer.plain(&request, response_ms, clock::now());
-    let result = gated(&dispatcher, &request, response_ms, &mut observed).await;
+    let result = admit_and_call(&dispatcher, &request, response_ms, &mut observed).await;
     match &result {
         Ok(_) => observed.answered(clock::now(), Tokens::ZERO),
         Err(refusal) => observed.refused(clock::now(), *refusal),
@@ -64,15 +66,15 @@
     result
 }
 
-async fn gated(
+async fn admit_and_call(
     dispatcher: &Dispatcher,
     request: &PlainRequest,
     response_ms: Millis,
     observed: &mut Observed,
 ) -> Result<Response<AnswerBody>, Refusal> {
-    let permit = match dispatcher.gate_plain(request).await? {
-        Gate::Run(permit) => permit,
-        Gate::Answered(answer) => return Ok(super::once::replay(request.request_id, &answer)),
+    let permit = match dispatcher.admit_plain(request).await? {
+        Admission::Run(permit) => permit,
+        Admission::Answered(answer) => return Ok(super::at_most_once::replay(request.request_id, &answer)),
     };
     let result = call(dispatcher, request, &permit, response_ms, observed).await;
     permit.settle_plain(&result);
@@ -94,12 +96,12 @@
         match action {
             PlainAction::Dispatch { server, timeout_ms, fresh_connection, .. } => {
                 if !permit.may_start(clock::now()) {
-                    // The process was paused for so long that the key may be another's by now.
+                    // The process was suspended for so long that another daemon may hold the claim by now.
                     return Err(Refusal::not_run(RefusalReason::ClaimsUnavailable));
                 }
-                observed.tried(&server);
-                let trust = if fresh_connection { Trust::Fresh } else { Trust::Pooled };
-                match send(dispatcher, &server, call_of(request, timeout_ms, trust)).await {
+                observed.attempt_starts(&server);
+                let reuse = if fresh_connection { ConnectionReuse::Fresh } else { ConnectionReuse::Pooled };
+                match send(dispatcher, &server, call_of(request, timeout_ms, reuse)).await {
                     Ok(reply) => {
                         open.feed(PlainEvent::Done { request_id });
                         return Ok(reply);
@@ -121,7 +123,7 @@
     Err(Refusal::unknown(RefusalReason::NoAnswer))
 }
 
-/// One try. An instance that is no longer listed has no address, and nothing is sent to it.
+/// Makes one attempt. An instance that is no longer listed has no address, so nothing is sent to it.
 async fn send(
     dispatcher: &Dispatcher,
     server: &BackendServerId,
@@ -136,14 +138,14 @@
 }
 
 fn arrival_of(request: &PlainRequest, response_ms: Millis) -> PlainArrival {
-    let (shortest, longest) = PATIENCE_RANGE_MS;
-    let patience = response_ms.0.saturating_mul(PATIENCE_FACTOR).clamp(shortest, longest);
+    let (shortest, longest) = MAX_WAIT_RANGE_MS;
+    let wait_ms = response_ms.0.saturating_mul(MAX_WAIT_FACTOR).clamp(shortest, longest);
     PlainArrival {
         request_id: request.request_id,
         partner: request.partner.clone(),
         repeatable: !request.runs_at_most_once(),
-        attempts_max: ATTEMPTS_MAX,
-        max_wait_ms: Millis(patience),
+        attempts_max: MAX_ATTEMPTS,
+        max_wait_ms: Millis(wait_ms),
     }
 }
 
@@ -165,7 +167,7 @@
     }
 }
 
-fn call_of(request: &PlainRequest, timeout_ms: Millis, trust: Trust) -> PlainCall {
+fn call_of(request: &PlainRequest, timeout_ms: Millis, reuse: ConnectionReuse) -> PlainCall {
     PlainCall {
         request_id: request.request_id,
         key: request.head.key.clone(),
@@ -174,7 +176,7 @@
         headers: request.headers.clone(),
         body: request.body.clone(),
         timeout_ms,
-        trust,
+        reuse,
     }
 }
 
@@ -184,27 +186,27 @@
     retention_ms: Option<Millis>,
 ) -> Response<AnswerBody> {
     let mut response = match reply {
-        PlainReply::Whole { status, headers, body } => whole(request, status, headers, body),
+        PlainReply::Buffered { status, headers, body } => buffered_response(request, status, headers, body),
         PlainReply::Streamed { status, headers, body } => {
-            finish(request, status, headers, body.map_err(|_| BodyBroken).boxed_unsync())
+            build_response(request, status, headers, body.map_err(|_| BodyBroken).boxed_unsync())
         }
     };
     if let Some(retention_ms) = retention_ms {
-        super::once::put_retention(response.headers_mut(), retention_ms);
+        super::at_most_once::insert_retention(response.headers_mut(), retention_ms);
     }
     response
 }
 
-fn whole(
+fn buffered_response(
     request: &PlainRequest,
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
 ) -> Response<AnswerBody> {
-    finish(request, status, headers, Full::new(body).map_err(|never| match never {}).boxed_unsync())
+    build_response(request, status, headers, Full::new(body).map_err(|never| match never {}).boxed_unsync())
 }
 
-fn finish(
+fn build_response(
     request: &PlainRequest,
     status: StatusCode,
     mut headers: HeaderMap,
--- a/crates/router/src/dispatch/plain_hub.rs
+++ b/crates/router/src/dispatch/plain_hub.rs
@@ -1,5 +1,5 @@
-//! Where the schedulers of the plain services meet the tasks that carry their decisions out. One scheduler for
-//! each service; see [`super::Hub`] for the shape.
+//! Connects the schedulers of the plain services to the tasks that carry out their decisions. There is one
+//! scheduler per service; [`super::Hub`] has the same structure.
 
 use std::collections::HashMap;
 
@@ -12,8 +12,8 @@
 use parking_lot::Mutex;
 use tokio::sync::mpsc;
 
-use super::alarm::Alarm;
-use super::ask::{Asks, spare_of};
+use super::loan_request::{LoanRequestSender, spare_credit};
+use super::wake_timer::WakeTimer;
 use crate::clock;
 use crate::directory::{BackendKind, Listing};
 use crate::external::ListedState;
@@ -28,13 +28,14 @@
 #[derive(Debug)]
 pub struct PlainHub {
     services: Mutex<HashMap<String, Service>>,
-    alarm: Alarm,
+    wake_timer: WakeTimer,
     settings: Mutex<PlainSettings>,
     seed: u64,
-    asks: Asks,
+    loan_requests: LoanRequestSender,
 }
 
-/// An open call; dropped, it tells the scheduler that its caller left unless it had ended.
+/// An open call. Dropping it tells the scheduler that the caller left, which has no effect when the call has
+/// ended.
 #[derive(Debug)]
 pub struct OpenCall<'a> {
     hub: &'a PlainHub,
@@ -44,12 +45,12 @@
 }
 
 impl OpenCall<'_> {
-    /// The scheduler's next step.
+    /// Waits for the scheduler's next action; `None` when the call has ended.
     pub async fn step(&mut self) -> Option<PlainAction> {
         self.steps.recv().await
     }
 
-    /// Tells the scheduler how a try went.
+    /// Tells the scheduler the result of an attempt.
     pub fn feed(&self, event: PlainEvent) {
         self.hub.feed(&self.service, event);
     }
@@ -65,12 +66,18 @@
 }
 
 impl PlainHub {
-    /// A hub that knows no services; its schedulers draw their random choices from `seed`.
-    pub fn new(settings: PlainSettings, seed: u64, asks: Asks) -> Self {
-        Self { services: Mutex::default(), alarm: Alarm::new(), settings: Mutex::new(settings), seed, asks }
+    /// Creates a hub without services, whose schedulers make their random choices from `seed`.
+    pub fn new(settings: PlainSettings, seed: u64, loan_requests: LoanRequestSender) -> Self {
+        Self {
+            services: Mutex::default(),
+            wake_timer: WakeTimer::new(),
+            settings: Mutex::new(settings),
+            seed,
+            loan_requests,
+        }
     }
 
-    /// Takes a call in. `None` when no such service is listed.
+    /// Adds a call; `None` when no such service is listed.
     pub fn arrive(&self, service: &str, arrival: PlainArrival) -> Option<OpenCall<'_>> {
         let (sender, steps) = mpsc::unbounded_channel();
         let request_id = arrival.request_id;
@@ -79,13 +86,13 @@
         Some(OpenCall { hub: self, service: service.to_owned(), request_id, steps })
     }
 
-    /// Adopts the listing. A service stays known when its last instance goes, so that its callers are told
-    /// to come back rather than that there is no such service.
+    /// Updates the instances of all services. A service stays known when its last instance leaves, so that
+    /// its callers are told to retry later instead of that the service does not exist.
     pub fn adopt(&self, listing: &Listing) {
-        let mut lists: HashMap<String, Vec<PlainInstance>> = HashMap::new();
+        let mut instances_by_service: HashMap<String, Vec<PlainInstance>> = HashMap::new();
         for server in listing.servers.values() {
             if let BackendKind::Plain { service, capacity } = &server.kind {
-                lists.entry(service.clone()).or_default().push(PlainInstance {
+                instances_by_service.entry(service.clone()).or_default().push(PlainInstance {
                     server: server.id.clone(),
                     capacity: *capacity,
                     leaving: server.listed == ListedState::Leaving,
@@ -95,15 +102,15 @@
         {
             let settings = *self.settings.lock();
             let mut services = self.services.lock();
-            for service in lists.keys() {
+            for service in instances_by_service.keys() {
                 services.entry(service.clone()).or_insert_with(|| Service {
                     scheduler: PlainScheduler::new(settings, self.seed),
                     open: HashMap::new(),
                 });
             }
         }
-        for service in self.names() {
-            let instances = lists.remove(&service).unwrap_or_default();
+        for service in self.service_names() {
+            let instances = instances_by_service.remove(&service).unwrap_or_default();
             self.feed(&service, PlainEvent::Instances(instances));
         }
     }
@@ -116,23 +123,23 @@
         }
     }
 
-    /// Tells the schedulers of a sign of a server.
+    /// Passes a state signal of a server to the schedulers.
     pub fn sign(&self, server: &BackendServerId, signal: StateSignal) {
         self.feed_all(&PlainEvent::StateSignal { server: server.clone(), signal });
     }
 
-    /// Tells the schedulers of a load that an instance told just now.
+    /// Passes a load report that an instance has just sent to the schedulers.
     pub fn load(&self, server: &BackendServerId, in_flight: u32, capacity: u32) {
         let age_us = Micros::ZERO;
         self.feed_all(&PlainEvent::Load { server: server.clone(), in_flight, capacity, age_us });
     }
 
-    /// Tells the schedulers that the limit which a server states is used up.
+    /// Tells the schedulers that a server has reached its own limit.
     pub fn limited(&self, server: &BackendServerId, reached: LimitReached) {
         self.feed_all(&PlainEvent::Limited { server: server.clone(), reached });
     }
 
-    /// What this daemon could lend of its further tries, by service.
+    /// Retry credit that this daemon can lend, by service; services without any are left out.
     pub fn spares(&self) -> Vec<(String, Credit)> {
         let now_us = clock::now();
         let mut services = self.services.lock();
@@ -143,16 +150,17 @@
         spares.collect()
     }
 
-    /// Takes what another daemon could lend.
-    pub fn told_spares(&self, host: &HostId, spares: &[(String, Credit)]) {
+    /// Records the credit that another daemon can lend.
+    pub fn receive_spares(&self, host: &HostId, spares: &[(String, Credit)]) {
         for (name, service) in self.services.lock().iter_mut() {
             if let Some(allowance) = service.scheduler.allowance() {
-                allowance.update_lender(host, spare_of(spares, name));
+                allowance.update_lender(host, spare_credit(spares, name));
             }
         }
     }
 
-    /// Lends to another daemon; says what, and what is left. `None` when there is no such service.
+    /// Lends credit to another daemon; returns the amount lent and the spare credit left, or `None` when
+    /// there is no such service.
     pub fn lend(&self, name: &str, wants: Credit) -> Option<(Credit, Credit)> {
         let now_us = clock::now();
         let mut services = self.services.lock();
@@ -160,23 +168,23 @@
         Some((allowance.lend(now_us, wants), allowance.lendable(now_us)))
     }
 
-    /// Another daemon answered a question for a loan.
+    /// Passes another daemon's answer to a loan request to the scheduler of the service.
     pub fn lent(&self, name: &str, number: u64, credit: Credit, spare: Credit) {
         self.feed(name, PlainEvent::Lent { number, credit, spare });
     }
 
     fn feed_all(&self, event: &PlainEvent) {
-        for service in self.names() {
+        for service in self.service_names() {
             self.feed(&service, event.clone());
         }
     }
 
-    /// What the scheduler of each service counted.
+    /// The counters of each service's scheduler.
     pub fn counters(&self) -> Vec<PlainCounters> {
         self.services.lock().values().map(|service| *service.scheduler.counters()).collect()
     }
 
-    fn names(&self) -> Vec<String> {
+    fn service_names(&self) -> Vec<String> {
         self.services.lock().keys().cloned().collect()
     }
 
@@ -189,13 +197,13 @@
         service.scheduler.handle(clock::now(), event, &mut actions);
         for action in actions {
             match &action {
-                PlainAction::Wake { at_us } => self.alarm.set(*at_us),
-                PlainAction::Borrow(ask) => self.asks.send(name, ask.clone()),
+                PlainAction::Wake { at_us } => self.wake_timer.set(*at_us),
+                PlainAction::Borrow(loan) => self.loan_requests.send(name, loan.clone()),
                 PlainAction::Dispatch { request_id, .. }
                 | PlainAction::Refuse { request_id, .. }
                 | PlainAction::Unknown { request_id } => {
                     if let Some(open) = service.open.get(request_id) {
-                        // A task that has ended needs no more steps.
+                        // Sending fails only when the task has ended; it needs no more actions then.
                         let _ = open.send(action);
                     }
                 }
@@ -203,8 +211,8 @@
         }
     }
 
-    /// Lets time pass for the schedulers, for as long as the daemon runs.
+    /// Passes ticks to the schedulers at the times they ask for. Runs until the daemon stops.
     pub async fn run_timers(&self) {
-        self.alarm.run(|| self.feed_all(&PlainEvent::Tick)).await;
+        self.wake_timer.run(|| self.feed_all(&PlainEvent::Tick)).await;
     }
 }
--- a/crates/router/src/dispatch/prefix.rs
+++ b/crates/router/src/dispatch/prefix.rs
@@ -2,18 +2,18 @@
 
 use hibiscusvale_core::units::Tokens;
 
-/// Bytes of prompt text that one token stands for on average.
+/// Mean number of bytes of prompt text in one token.
 const BYTES_PER_TOKEN: u64 = 4;
 
 /// Bytes of prompt text in one block of the engines' prefix caches.
 const BLOCK_BYTES: usize = 256;
 
-/// Tokens of a text.
+/// Estimates the number of tokens in a text from its length.
 pub fn estimate_tokens(text: &[u8]) -> Tokens {
     Tokens((text.len() as u64).div_ceil(BYTES_PER_TOKEN))
 }
 
-/// Hashes of the prompt's prefixes that end at a block border, shortest first.
+/// Hashes of the prompt's prefixes that end at a block boundary, shortest first.
 pub fn blocks(prompt: &[u8]) -> Vec<u64> {
     let mut hasher = blake3::Hasher::new();
     prompt
--- a/crates/router/src/dispatch/release.rs
+++ b/crates/router/src/dispatch/release.rs
@@ -1,8 +1,9 @@
-//! Release of engine memory, repeated until the engine confirms it.
+//! Releases engine memory, and repeats each release until the engine confirms it.
 //!
-//! A cancellation can be lost like any message; the engine would then hold a slot for a caller who has gone,
-//! and nobody would notice but by a pool that shrinks. So a release ends only with the engine's
-//! confirmation, or when the server is no longer listed: whatever comes back under its name starts empty.
+//! A cancellation can be lost like any other message. The engine would then hold a slot for a caller that
+//! has left, and the only sign of it would be a shrinking pool. A release therefore ends only with the
+//! engine's confirmation, or when the server is no longer listed: a server that returns under the same name
+//! starts empty.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,48 +14,48 @@
 use tokio::runtime::Handle;
 use tokio::time::MissedTickBehavior;
 
-use crate::backend::{EngineEdge, Held};
+use crate::backend::{EngineClient, HeldMemory};
 use crate::clock;
 use crate::directory::Directory;
 
-/// Time between looks at releases that are due again; below the first wait of any.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval of the checks for releases that are due again; shorter than the first retry delay.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Sends releases and counts those not confirmed.
+/// Sends releases and tracks those that are not confirmed.
 #[derive(Debug)]
 pub struct Releases {
-    engines: Arc<dyn EngineEdge>,
+    engines: Arc<dyn EngineClient>,
     directory: Arc<Directory>,
     runtime: Handle,
-    pending: Mutex<PendingReleases<Held>>,
+    pending: Mutex<PendingReleases<HeldMemory>>,
 }
 
 impl Releases {
-    /// Makes releases that are sent on `runtime`.
-    pub fn new(engines: Arc<dyn EngineEdge>, directory: Arc<Directory>, runtime: Handle) -> Self {
+    /// Creates a tracker that sends releases on `runtime`.
+    pub fn new(engines: Arc<dyn EngineClient>, directory: Arc<Directory>, runtime: Handle) -> Self {
         let pending = Mutex::new(PendingReleases::new(ReleaseSettings::default()));
         Self { engines, directory, runtime, pending }
     }
 
-    /// Releases not yet confirmed.
-    pub fn under_way(&self) -> usize {
+    /// Number of releases that are not confirmed.
+    pub fn unconfirmed(&self) -> usize {
         self.pending.lock().len()
     }
 
-    /// Releases what this daemon's try holds at `server`.
+    /// Releases what this daemon's attempt holds at `server`.
     pub fn release(self: &Arc<Self>, server: &BackendServerId, attempt_id: AttemptId) {
-        self.release_held(server, Held::own(attempt_id));
+        self.release_held(server, HeldMemory::own(attempt_id));
     }
 
-    /// Releases what any daemon's try holds at `server`.
-    pub fn release_held(self: &Arc<Self>, server: &BackendServerId, held: Held) {
+    /// Releases what an attempt of any daemon holds at `server`.
+    pub fn release_held(self: &Arc<Self>, server: &BackendServerId, held: HeldMemory) {
         self.pending.lock().request(clock::now(), server, held);
         self.send_due();
     }
 
-    /// Sends again what is not confirmed, for as long as the daemon runs.
+    /// Repeats unconfirmed releases. Runs until the daemon stops.
     pub async fn run(self: Arc<Self>) {
-        let mut tick = tokio::time::interval(TICK);
+        let mut tick = tokio::time::interval(CHECK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tick.tick().await;
--- a/crates/router/src/external/host_list.rs
+++ b/crates/router/src/external/host_list.rs
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 
 use super::{HostList, HostListChange, HostListPage, ListedHost, PlatformFailure};
-use crate::backend::{BackendHttp, CallFailure, Trust, read_body, uri};
+use crate::backend::{BackendHttp, CallFailure, ConnectionReuse, read_body, uri};
 
 /// Beyond the time that the list may hold its answer back.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
@@ -49,7 +49,7 @@
             .uri(uri(self.address, &path)?)
             .body(Full::default())
             .map_err(|_| CallFailure::Malformed)?;
-        let response = self.http.send(Trust::Fresh, request, timeout).await?;
+        let response = self.http.send(ConnectionReuse::Fresh, request, timeout).await?;
         let body = read_body(response.into_body(), LIST_LIMIT_BYTES, timeout).await?;
         let page: Page = serde_json::from_slice(&body).map_err(|_| CallFailure::Malformed)?;
         let change = match page.entries {
--- a/crates/router/src/external/log.rs
+++ b/crates/router/src/external/log.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{AppendError, Log, LogFailure, LogPage, LogRecord, Stream};
-use crate::backend::{BackendHttp, CallFailure, Trust, read_body, uri};
+use crate::backend::{BackendHttp, CallFailure, ConnectionReuse, read_body, uri};
 
 /// Header in which the log says when to come back.
 const RETRY_AFTER_MS: &str = "retry-after-ms";
@@ -85,7 +85,8 @@
         let call = AppendCall { records: records.iter().map(|data| STANDARD.encode(data)).collect() };
         let request = append_request(self.address, stream, &call).ok_or(NOT_SENT)?;
         let timeout = Duration::from(self.settings.append_timeout_ms);
-        let response = self.http.send(Trust::Fresh, request, timeout).await.map_err(append_failure)?;
+        let response =
+            self.http.send(ConnectionReuse::Fresh, request, timeout).await.map_err(append_failure)?;
         let status = response.status();
         if status != StatusCode::OK {
             return Err(append_refusal(status, response.headers()));
@@ -104,7 +105,11 @@
         limit: u32,
         wait_ms: Millis,
     ) -> Result<LogPage, LogFailure> {
-        let trust = if self.distrusts_pool.load(Ordering::Relaxed) { Trust::Fresh } else { Trust::Pooled };
+        let trust = if self.distrusts_pool.load(Ordering::Relaxed) {
+            ConnectionReuse::Fresh
+        } else {
+            ConnectionReuse::Pooled
+        };
         let page = self.try_read(trust, stream, from, limit, wait_ms).await;
         let is_silent = matches!(page, Err(LogFailure::Timeout | LogFailure::Unreachable));
         self.distrusts_pool.store(is_silent, Ordering::Relaxed);
@@ -113,7 +118,7 @@
 
     async fn try_read(
         &self,
-        trust: Trust,
+        trust: ConnectionReuse,
         stream: Stream,
         from: Offset,
         limit: u32,
--- a/crates/router/src/external/weight_store.rs
+++ b/crates/router/src/external/weight_store.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 
 use super::{PlatformFailure, StoredModel, WeightStore, WeightStoreInfo};
-use crate::backend::{BackendHttp, CallFailure, Trust, read_body, uri};
+use crate::backend::{BackendHttp, CallFailure, ConnectionReuse, read_body, uri};
 
 /// Planning can wait for a slow store, but not for one that has gone silent.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
@@ -42,7 +42,7 @@
             .uri(uri(self.address, "/weights")?)
             .body(Full::default())
             .map_err(|_| CallFailure::Malformed)?;
-        let response = self.http.send(Trust::Fresh, request, ANSWER_TIMEOUT).await?;
+        let response = self.http.send(ConnectionReuse::Fresh, request, ANSWER_TIMEOUT).await?;
         if response.status() != StatusCode::OK {
             return Err(CallFailure::Malformed);
         }
--- a/crates/router/src/leases.rs
+++ b/crates/router/src/leases.rs
@@ -26,7 +26,7 @@
 
 use self::engines::Engines;
 use self::orders::Orders;
-use crate::backend::EngineEdge;
+use crate::backend::EngineClient;
 use crate::clock;
 use crate::directory::Directory;
 use crate::dispatch::Demand;
@@ -55,7 +55,7 @@
     /// The backend servers.
     pub directory: Arc<Directory>,
     /// The engines.
-    pub engines: Arc<dyn EngineEdge>,
+    pub engines: Arc<dyn EngineClient>,
     /// The platform's log.
     pub log: Arc<dyn Log>,
     /// The platform's weight store.
--- a/crates/router/src/leases/engines.rs
+++ b/crates/router/src/leases/engines.rs
@@ -8,7 +8,7 @@
 use hibiscusvale_core::sched::EngineView;
 use hibiscusvale_core::slots::Role;
 
-use crate::backend::{EngineEdge, EngineLoad};
+use crate::backend::{EngineClient, EngineLoad};
 use crate::directory::{BackendKind, BackendServer, Listing};
 use crate::external::{EngineRole, ListedState};
 
@@ -32,7 +32,7 @@
         &mut self,
         listing: &Listing,
         data_centre: &DataCentreId,
-        edge: &Arc<dyn EngineEdge>,
+        edge: &Arc<dyn EngineClient>,
     ) {
         let mut servers: Vec<&Arc<BackendServer>> = listing
             .servers
--- a/crates/router/src/leases/orders.rs
+++ b/crates/router/src/leases/orders.rs
@@ -7,7 +7,7 @@
 use hibiscusvale_core::order::{OrderKind, OrderOutcome, OrderState, PendingOrder};
 use hibiscusvale_core::slots::Role;
 
-use crate::backend::EngineEdge;
+use crate::backend::EngineClient;
 use crate::clock;
 use crate::directory::Listing;
 
@@ -63,7 +63,7 @@
         settings: &LeaseSettings,
         lease: &Lease,
         listing: &Listing,
-        edge: &Arc<dyn EngineEdge>,
+        edge: &Arc<dyn EngineClient>,
     ) -> Vec<BackendServerId> {
         for Addressed { server, order } in &mut self.pending {
             let Some(address) = listing.servers.get(server).map(|server| server.address) else {
--- a/crates/router/src/operators/client.rs
+++ b/crates/router/src/operators/client.rs
@@ -7,7 +7,7 @@
 use http_body_util::Full;
 use serde::de::DeserializeOwned;
 
-use crate::backend::{BackendHttp, CallFailure, Trust, read_body, uri};
+use crate::backend::{BackendHttp, CallFailure, ConnectionReuse, read_body, uri};
 
 /// A daemon that takes longer is of no use to an operator who waits.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
@@ -46,7 +46,7 @@
             .uri(uri(host, path)?)
             .body(Full::default())
             .map_err(|_| CallFailure::Malformed)?;
-        let response = self.http.send(Trust::Fresh, request, ANSWER_TIMEOUT).await?;
+        let response = self.http.send(ConnectionReuse::Fresh, request, ANSWER_TIMEOUT).await?;
         match response.status() {
             StatusCode::OK => {}
             StatusCode::NOT_FOUND => return Err(OperatorsFailure::NotFound),
--- a/crates/router/src/relay/daemon.rs
+++ b/crates/router/src/relay/daemon.rs
@@ -37,7 +37,7 @@
 use crate::backend::BackendHttp;
 use crate::daemon::StartError;
 use crate::directory::Directory;
-use crate::dispatch::{Asks, PlainHub};
+use crate::dispatch::{LoanRequestSender, PlainHub};
 use crate::external::{HostList, Log as RecordLog};
 use crate::logging::Log;
 use crate::settings::SettingsError;
@@ -103,7 +103,7 @@
         let log = Log::stdout(settings.observe.log_level)?;
         let traffic = runtime("traffic")?;
         let control = runtime("control")?;
-        let (asks, loan_requests) = Asks::channel();
+        let (asks, loan_requests) = LoanRequestSender::channel();
         let (quotas, outgoing) = QuotaHub::new(settings.host.id.clone());
         let (quarantine, evidence_due) = QuarantineHub::new(incarnation);
         let state = Arc::new(RelayState {
--- a/crates/router/src/relay/engine_hub.rs
+++ b/crates/router/src/relay/engine_hub.rs
@@ -19,9 +19,9 @@
 use super::state::RelayState;
 use crate::clock;
 use crate::directory::{BackendKind, Listing};
-use crate::dispatch::Asks;
-use crate::dispatch::alarm::Alarm;
-use crate::dispatch::ask::spare_of;
+use crate::dispatch::LoanRequestSender;
+use crate::dispatch::loan_request::spare_credit;
+use crate::dispatch::wake_timer::WakeTimer;
 use crate::external::{EngineRole, ListedState};
 use crate::settings::HostSettings;
 
@@ -35,12 +35,12 @@
 #[derive(Debug)]
 pub struct EngineHub {
     services: Mutex<HashMap<String, Service>>,
-    alarm: Alarm,
+    alarm: WakeTimer,
     settings: Mutex<EnginePoolSettings>,
     host: HostId,
     data_centre: DataCentreId,
     seed: u64,
-    asks: Asks,
+    asks: LoanRequestSender,
 }
 
 /// An open request. Dropping it tells the pool that the caller left, unless the request had ended.
@@ -105,10 +105,15 @@
 
 impl EngineHub {
     /// A hub without services.
-    pub fn new(settings: EnginePoolSettings, host: &HostSettings, seed: u64, asks: Asks) -> Self {
+    pub fn new(
+        settings: EnginePoolSettings,
+        host: &HostSettings,
+        seed: u64,
+        asks: LoanRequestSender,
+    ) -> Self {
         Self {
             services: Mutex::default(),
-            alarm: Alarm::new(),
+            alarm: WakeTimer::new(),
             settings: Mutex::new(settings),
             host: host.id.clone(),
             data_centre: host.data_centre.clone(),
@@ -249,7 +254,7 @@
     /// Updates the spare credit of another daemon.
     pub fn receive_spares(&self, host: &HostId, spares: &[(String, Credit)]) {
         for (name, service) in self.services.lock().iter_mut() {
-            service.pool.allowance().update_lender(host, spare_of(spares, name));
+            service.pool.allowance().update_lender(host, spare_credit(spares, name));
         }
     }
 
--- a/crates/router/src/relay/exchange.rs
+++ b/crates/router/src/relay/exchange.rs
@@ -23,7 +23,7 @@
 use super::state_transfer;
 use super::watch;
 use crate::clock;
-use crate::dispatch::ServiceAsk;
+use crate::dispatch::ServiceLoanRequest;
 
 /// Minimum interval between reads of the register. A starting daemon reads it and contacts the others, which
 /// know it from then on; the periodic read only makes up for lost datagrams. A long poll instead would have
@@ -134,7 +134,7 @@
 pub async fn run(
     address: SocketAddr,
     host: HostId,
-    asks: mpsc::UnboundedReceiver<ServiceAsk>,
+    asks: mpsc::UnboundedReceiver<ServiceLoanRequest>,
     outgoing: mpsc::UnboundedReceiver<Outgoing>,
     state: Arc<RelayState>,
 ) -> io::Result<()> {
--- a/crates/router/src/relay/hop.rs
+++ b/crates/router/src/relay/hop.rs
@@ -12,7 +12,7 @@
 
 use super::interfaces::{EngineCall, Hop, ReplyHead, Wire};
 use super::state::{Incoming as IncomingRequest, RelayState};
-use crate::backend::{BackendHttp, CallFailure, KnownReply, Trust, read_body, uri};
+use crate::backend::{BackendHttp, CallFailure, ConnectionReuse, TrackedReply, read_body, uri};
 use crate::callers::AnswerBody;
 
 /// Answers up to this size are buffered before the caller's answer starts, so that one that breaks off can be
@@ -28,7 +28,7 @@
     pub headers: HeaderMap,
     /// The parsed head.
     pub head: ReplyHead,
-    known: KnownReply,
+    known: TrackedReply,
 }
 
 /// A fully buffered answer.
@@ -82,7 +82,7 @@
     incoming: &IncomingRequest,
     to: SocketAddr,
     hop: &Hop<'_>,
-    trust: Trust,
+    trust: ConnectionReuse,
     timeout: Duration,
 ) -> Result<Reply, FailureCause> {
     let reply = exchange(http, wire, incoming, to, hop, trust, timeout).await?;
@@ -90,7 +90,7 @@
         Ok(()) => Ok(reply),
         Err(cause) => {
             if cause == FailureCause::Broken {
-                reply.known.distrust();
+                reply.known.prevent_reuse();
             }
             Err(cause)
         }
@@ -110,11 +110,11 @@
     hop: &Hop<'_>,
     timeout: Duration,
 ) -> Result<Reply, FailureCause> {
-    let reply = exchange(http, wire, incoming, to, hop, Trust::Pooled, timeout).await?;
+    let reply = exchange(http, wire, incoming, to, hop, ConnectionReuse::Pooled, timeout).await?;
     match classify_head(incoming, reply.status, &reply.head) {
         Err(cause @ (FailureCause::NoRoom | FailureCause::Leaving)) => Err(cause),
         _ if reply.head.id.as_deref().is_some_and(|id| id != incoming.call.id.as_str()) => {
-            reply.known.distrust();
+            reply.known.prevent_reuse();
             Err(FailureCause::Broken)
         }
         _ if reply.status == StatusCode::OK => Ok(reply),
@@ -128,11 +128,11 @@
     incoming: &IncomingRequest,
     to: SocketAddr,
     hop: &Hop<'_>,
-    trust: Trust,
+    trust: ConnectionReuse,
     timeout: Duration,
 ) -> Result<Reply, FailureCause> {
     let request = request_of(wire, incoming, to, hop).map_err(|_| FailureCause::NotSent)?;
-    let mut known = http.send_known(trust, request, timeout).await.map_err(failure_cause)?;
+    let mut known = http.send_tracked(trust, request, timeout).await.map_err(failure_cause)?;
     let status = known.response.status();
     let headers = std::mem::take(known.response.headers_mut());
     let head = wire.parse_reply(status, &headers);
@@ -156,7 +156,7 @@
     *request.method_mut() = call.method;
     *request.uri_mut() = uri(to, &call.path)?;
     *request.headers_mut() = call.headers;
-    let response = state.http.send(Trust::Pooled, request, timeout).await?;
+    let response = state.http.send(ConnectionReuse::Pooled, request, timeout).await?;
     let status = response.status();
     // Only answers to requests can withdraw a limit.
     if let Some(rate) = state.wire.parse_reply(status, response.headers()).limit {
--- a/crates/router/src/relay/loans.rs
+++ b/crates/router/src/relay/loans.rs
@@ -12,7 +12,7 @@
 use super::message::Datagram;
 use super::pacing::Urgency;
 use super::state::RelayState;
-use crate::dispatch::ServiceAsk;
+use crate::dispatch::ServiceLoanRequest;
 
 /// Request for a loan from another daemon.
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -43,15 +43,15 @@
 /// Sends the schedulers' loan requests, for as long as the daemon runs.
 pub async fn send_requests(
     socket: &UdpSocket,
-    mut asks: mpsc::UnboundedReceiver<ServiceAsk>,
+    mut asks: mpsc::UnboundedReceiver<ServiceLoanRequest>,
     state: &RelayState,
 ) {
-    while let Some(ServiceAsk { service, ask }) = asks.recv().await {
-        let Some(lender) = state.peers.address_of(&ask.lender) else {
+    while let Some(ServiceLoanRequest { service, loan }) = asks.recv().await {
+        let Some(lender) = state.peers.address_of(&loan.lender) else {
             continue;
         };
         let request =
-            LoanRequest { incarnation: state.incarnation, service, number: ask.number, credit: ask.credit };
+            LoanRequest { incarnation: state.incarnation, service, number: loan.number, credit: loan.credit };
         send(socket, lender, &Datagram::LoanRequest(request)).await;
     }
 }
@@ -94,5 +94,5 @@
 /// Records the spare credit of another daemon.
 pub fn receive_spares(host: &HostId, spares: &Spares, state: &RelayState) {
     state.engine_hub.receive_spares(host, spares);
-    state.plain_hub.told_spares(host, spares);
+    state.plain_hub.receive_spares(host, spares);
 }
