--- a/crates/router/src/relay/plain.rs
+++ b/crates/router/src/relay/plain.rs
@@ -16,7 +16,7 @@
 use super::refusal::{Reason, Refusal};
 use super::state::{Incoming, RelayState};
 use super::trace::Step;
-use crate::backend::Trust;
+use crate::backend::ConnectionReuse;
 use crate::callers::AnswerBody;
 
 /// Divisor of a request's remaining time: the quotient is the maximum queueing time, the rest is left for the
@@ -51,7 +51,7 @@
         let Some(action) = step else { break };
         match action {
             PlainAction::Dispatch { server, timeout_ms, fresh_connection, .. } => {
-                let trust = if fresh_connection { Trust::Fresh } else { Trust::Pooled };
+                let trust = if fresh_connection { ConnectionReuse::Fresh } else { ConnectionReuse::Pooled };
                 let result = run_attempt(state, incoming, server.clone(), timeout_ms, trust).await;
                 match &result {
                     Ok(_) => incoming.record_step(Step::Answered, &server),
@@ -112,7 +112,7 @@
     incoming: &Arc<Incoming>,
     server: BackendServerId,
     timeout_ms: Millis,
-    trust: Trust,
+    trust: ConnectionReuse,
 ) -> Result<BufferedReply, FailureCause> {
     let left = incoming.left();
     if is_repeatable(incoming) {
@@ -127,7 +127,7 @@
     state: &RelayState,
     incoming: &Incoming,
     server: &BackendServerId,
-    trust: Trust,
+    trust: ConnectionReuse,
     timeout: Duration,
 ) -> Result<BufferedReply, FailureCause> {
     let to = state.directory.address_of(server).ok_or(FailureCause::NotSent)?;
--- a/crates/router/src/relay/state_transfer.rs
+++ b/crates/router/src/relay/state_transfer.rs
@@ -24,7 +24,7 @@
 use super::server_changes::ServerChange;
 use super::state::RelayState;
 use super::{status, watch};
-use crate::backend::{Trust, read_body, uri};
+use crate::backend::{ConnectionReuse, read_body, uri};
 use crate::clock;
 use crate::directory::{BackendServer, Listing};
 
@@ -210,7 +210,7 @@
 {
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.uri_mut() = uri(address, path).ok()?;
-    let response = state.http.send(Trust::Fresh, request, TIMEOUT).await.ok()?;
+    let response = state.http.send(ConnectionReuse::Fresh, request, TIMEOUT).await.ok()?;
     if response.status() != StatusCode::OK {
         return None;
     }
--- a/crates/router/src/relay/stream.rs
+++ b/crates/router/src/relay/stream.rs
@@ -24,7 +24,7 @@
 use super::refusal::{Reason, Refusal};
 use super::state::{Incoming, RelayState};
 use super::trace::Step;
-use crate::backend::Trust;
+use crate::backend::ConnectionReuse;
 use crate::callers::{AnswerBody, BodyBroken};
 
 /// Maximum queueing time as a multiple of the first-event target. Callers leave after four times the target,
@@ -282,7 +282,7 @@
             after_event: self.last_event,
             ..incoming.hop(writer, task)
         };
-        let trust = if self.is_repeatable() { Trust::Pooled } else { Trust::Fresh };
+        let trust = if self.is_repeatable() { ConnectionReuse::Pooled } else { ConnectionReuse::Fresh };
         let reply = hop::send(&state.http, &*state.wire, incoming, at, &hop, trust, incoming.left()).await;
         if let Err(cause) = &reply {
             crashes::check_for_crash(incoming, &attempt, *cause).await;
--- a/crates/router/src/slot_route.rs
+++ b/crates/router/src/slot_route.rs
@@ -1,4 +1,4 @@
-//! Finds the daemon that watches a server and takes slot messages there.
+//! Routes slot messages to the daemon that watches the server.
 
 use std::sync::Arc;
 
@@ -13,34 +13,34 @@
 use crate::peer::{PeerBody, PeerLink};
 use crate::watcher::WatcherCommand;
 
-/// The way of slot messages from this daemon.
+/// Sends slot messages of this daemon to the watchers of servers.
 #[derive(Debug)]
 pub struct SlotRoute {
     /// This daemon's host.
     pub host: HostId,
-    /// Its life.
+    /// This daemon's incarnation.
     pub incarnation: Incarnation,
-    /// Who lives.
+    /// The members that are alive.
     pub members: Arc<ArcSwap<MembersView>>,
-    /// Where servers stand.
+    /// Data centres and regions of the servers.
     pub directory: Arc<Directory>,
-    /// The way to other daemons.
+    /// Link to the other daemons.
     pub link: Arc<dyn PeerLink>,
-    /// Finds the watcher service of this daemon.
+    /// Used to find the watcher service of this daemon.
     pub kernel: Kernel,
 }
 
 impl SlotRoute {
-    /// The daemon that watches `server`, as this one sees it.
+    /// The daemon that watches `server`, according to this daemon's view of the members.
     pub fn watcher_of(&self, server: &BackendServerId) -> Option<HostId> {
         let listing = self.directory.listing();
         let server = listing.servers.get(server)?;
         watch::watcher_with_fallback(&server.id, &server.data_centre, &server.region, &self.members.load())
     }
 
-    /// Sends a message to the watcher of its server. Where there is none, or its inbox is full, the message
-    /// is lost; the scheduler asks again or elsewhere after its timeout.
-    pub fn to_watcher(&self, message: SlotMessage) {
+    /// Sends a message to the watcher of its server. Without a watcher, or when its inbox is full, the
+    /// message is lost; after a time-out the scheduler repeats the request, there or at another server.
+    pub fn send_to_watcher(&self, message: SlotMessage) {
         let Some(watcher) = self.watcher_of(message.server()) else {
             return;
         };
@@ -50,7 +50,7 @@
         }
         let command =
             WatcherCommand::Slot { from: self.host.clone(), incarnation: self.incarnation, message };
-        // A lost ask is repeated, a lost release expires.
+        // A lost slot request is repeated, and a slot whose release is lost expires.
         if let Ok(watcher) = self.kernel.find(ServiceName::Watcher) {
             let _ = watcher.try_send(command);
         }
--- a/crates/router/src/watcher.rs
+++ b/crates/router/src/watcher.rs
@@ -23,7 +23,7 @@
 use tokio::time::MissedTickBehavior;
 
 use crate::backend::{
-    CacheChange, CacheChangeKind, CachePage, EngineEdge, EngineLoad, Held, HeldRequest, Owner,
+    CacheChange, CacheChangeKind, CachePage, EngineClient, EngineLoad, HeldMemory, HeldRequest, Owner,
 };
 use crate::clock;
 use crate::directory::{BackendKind, BackendServer, Directory, Listing};
@@ -80,7 +80,7 @@
     /// The backend servers.
     pub directory: Arc<Directory>,
     /// The engines.
-    pub engines: Arc<dyn EngineEdge>,
+    pub engines: Arc<dyn EngineClient>,
     /// The way to other daemons.
     pub link: Arc<dyn PeerLink>,
     /// This daemon's scheduler.
@@ -399,7 +399,7 @@
         let of_request = held.filter(|held| request_of(&held.request_id) == Some(request_id));
         for held in of_request.filter(|held| owner_state(&held.owner, &view) == OwnerState::Live) {
             if let Ok(attempt_id) = held.request_id.parse() {
-                let held = Held { attempt_id, owner: Some(held.owner.clone()) };
+                let held = HeldMemory { attempt_id, owner: Some(held.owner.clone()) };
                 self.parts.releases.release_held(server, held);
             }
         }
@@ -409,7 +409,7 @@
 /// Reads load and, of a prefill server, cache events. What does not come is nothing to act on: the ledger counts its
 /// own grants, and whether the server is mute shows in the calls of requests.
 async fn read_engine(
-    engines: Arc<dyn EngineEdge>,
+    engines: Arc<dyn EngineClient>,
     reports: mpsc::UnboundedSender<Reported>,
     server: BackendServerId,
     address: SocketAddr,
--- a/crates/router/tests/ops/observe.rs
+++ b/crates/router/tests/ops/observe.rs
@@ -15,13 +15,13 @@
 use crate::config::{host_id, only_member};
 
 #[derive(Clone, Copy)]
-enum Mark {
+enum TestLabel {
     Answered,
     Evicted,
     QueueFull,
 }
 
-impl Label for Mark {
+impl Label for TestLabel {
     fn label(self) -> &'static str {
         match self {
             Self::Answered => "answered",
@@ -32,9 +32,9 @@
 }
 
 #[derive(Clone, Default)]
-struct Memory(Arc<Mutex<Vec<u8>>>);
+struct MemoryWriter(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Memory {
+impl Write for MemoryWriter {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         self.0.lock().write(buf)
     }
@@ -53,21 +53,21 @@
 }
 
 #[test]
-fn a_finished_request_is_one_json_line_with_its_fields() {
-    let memory = Memory::default();
+fn finished_request_is_logged_as_one_json_line() {
+    let memory = MemoryWriter::default();
     let log = Log::to_writer(LogLevel::Info, memory.clone()).expect("a log");
     let request_id = RequestId { incarnation: Incarnation(7), sequence: 9 };
     let line = RequestLine {
         request_id,
         partner: Some(&partner("nadifa")),
         class: Some(&class("summary")),
-        outcome: Mark::Answered,
+        outcome: TestLabel::Answered,
         took_ms: Millis(12),
         attempts: 1,
     };
     log.request_finished(line);
-    log.request_refused(line, Mark::QueueFull);
-    log.request_retried(request_id, Mark::Evicted);
+    log.request_refused(line, TestLabel::QueueFull);
+    log.request_retried(request_id, TestLabel::Evicted);
     log.flush();
     let text = String::from_utf8(memory.0.lock().clone()).expect("text");
     let lines: Vec<serde_json::Value> =
@@ -82,19 +82,19 @@
 }
 
 #[test]
-fn every_counter_is_scraped_with_its_labels() {
+fn scrape_contains_every_counter_with_its_labels() {
     let metrics = Metrics::new().expect("metrics");
     let summary = metrics.class(&partner("nadifa"), &class("summary"));
-    summary.finished(Mark::Answered);
-    summary.finished(Mark::Answered);
-    summary.refused(Mark::QueueFull);
-    summary.retried(Mark::Evicted);
+    summary.finished(TestLabel::Answered);
+    summary.finished(TestLabel::Answered);
+    summary.refused(TestLabel::QueueFull);
+    summary.retried(TestLabel::Evicted);
     summary.met_targets();
     summary.prefilled(Tokens(500));
-    summary.wasted_prefill(Mark::Evicted, Tokens(40));
+    summary.wasted_prefill(TestLabel::Evicted, Tokens(40));
     summary.first_token(Micros(30_000));
     summary.per_token(Micros(12_000));
-    metrics.peer_dropped(Mark::Evicted, 1);
+    metrics.peer_dropped(TestLabel::Evicted, 1);
     metrics.set(Gauge::ControlSentBytesPerS, 77);
     let text = metrics.render();
     for expected in [
@@ -114,13 +114,14 @@
     assert_eq!(metrics.totals()[0].goodput, 1);
 }
 
-/// A partner publishes class after class, by mistake or not. Each would be a series for ever; the scrape would
-/// outgrow the daemon's memory. Beyond the bound all are counted together, and nothing is lost from the sum.
+/// A partner that publishes ever more classes must not create a metric series for each: the scrape would
+/// outgrow the daemon's memory. Beyond the bound all classes are counted together, and the sum stays
+/// complete.
 #[test]
-fn a_flood_of_classes_stays_bounded() {
+fn class_series_are_bounded() {
     let metrics = Metrics::new().expect("metrics");
     for index in 0..MAX_CLASS_SERIES + 50 {
-        metrics.class(&partner("nadifa"), &class(&format!("c{index}"))).finished(Mark::Answered);
+        metrics.class(&partner("nadifa"), &class(&format!("c{index}"))).finished(TestLabel::Answered);
     }
     let totals = metrics.totals();
     assert_eq!(totals.len(), MAX_CLASS_SERIES + 1);
@@ -128,10 +129,10 @@
     assert_eq!(sum, MAX_CLASS_SERIES as u64 + 50);
 }
 
-/// A host dies and is replaced while nobody looks. Afterwards the log must tell when it was suspected, given up and
-/// replaced, or nobody can say what a request of that minute met.
+/// Each state change of a member is reported exactly once. Without the times at which a host was suspected,
+/// declared dead and replaced, the log cannot explain the requests of that minute.
 #[test]
-fn each_change_of_a_member_is_told_once() {
+fn each_member_change_is_reported_once() {
     let (none, live) = (MembersView::default(), only_member());
     let altered = |alter: fn(&mut hibiscusvale_core::membership::Member)| {
         let mut view = only_member();
@@ -140,11 +141,11 @@
     };
     let suspect = altered(|member| member.state = MemberState::Suspect);
     let replaced = altered(|member| member.incarnation = Incarnation(9));
-    let told = |before, after| changes(before, after);
+    let reported = |before, after| changes(before, after);
     let one = |event| vec![MemberChange { host: host_id(), event }];
-    assert_eq!(told(&none, &live), one(MemberEvent::Joined));
-    assert_eq!(told(&live, &suspect), one(MemberEvent::Became(MemberState::Suspect)));
-    assert_eq!(told(&live, &replaced), one(MemberEvent::Replaced));
-    assert_eq!(told(&suspect, &none), one(MemberEvent::Gone));
-    assert_eq!(told(&live, &live), vec![]);
+    assert_eq!(reported(&none, &live), one(MemberEvent::Joined));
+    assert_eq!(reported(&live, &suspect), one(MemberEvent::Became(MemberState::Suspect)));
+    assert_eq!(reported(&live, &replaced), one(MemberEvent::Replaced));
+    assert_eq!(reported(&suspect, &none), one(MemberEvent::Gone));
+    assert_eq!(reported(&live, &live), vec![]);
 }
--- a/crates/router/tests/ops/operators.rs
+++ b/crates/router/tests/ops/operators.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use arc_swap::ArcSwap;
-use hibiscusvale::backend::{BackendHttp, Trust, read_body, uri};
+use hibiscusvale::backend::{BackendHttp, ConnectionReuse, read_body, uri};
 use hibiscusvale::metrics::{Gauge, Label, Metrics};
 use hibiscusvale::operators::views::{
     ConfigView, LogStateView, MembersListView, OutcomesView, RequestView, StatusView, TargetView, VerdictView,
@@ -73,7 +73,8 @@
         .body(Full::default())
         .expect("a request");
     let timeout = std::time::Duration::from_secs(5);
-    let response = BackendHttp::new().send(Trust::Fresh, request, timeout).await.expect("an answer");
+    let response =
+        BackendHttp::new().send(ConnectionReuse::Fresh, request, timeout).await.expect("an answer");
     let status = response.status();
     let body = read_body(response.into_body(), 1 << 20, timeout).await.expect("a body");
     Reply { status, text: String::from_utf8_lossy(&body).into_owned() }
--- a/crates/router/tests/unit/alarm.rs
+++ b/crates/router/tests/unit/wake_timer.rs
@@ -4,18 +4,18 @@
 
 use hibiscusvale_core::units::Millis;
 
-use super::Alarm;
+use super::WakeTimer;
 use crate::clock;
 
-/// Two schedulers share an alarm; when it goes off for the first, the second one's time must not be lost.
+/// When the timer fires for one scheduler, a later time set by another scheduler must be kept.
 #[tokio::test]
-async fn a_later_time_is_kept_when_an_earlier_one_has_come() {
-    let alarm = Arc::new(Alarm::new());
+async fn later_time_is_kept_when_an_earlier_one_is_reached() {
+    let timer = Arc::new(WakeTimer::new());
     let ticks = Arc::new(AtomicUsize::new(0));
     let now_us = clock::now();
-    alarm.set(now_us + Millis(60));
-    alarm.set(now_us + Millis(10));
-    let (running, counted) = (Arc::clone(&alarm), Arc::clone(&ticks));
+    timer.set(now_us + Millis(60));
+    timer.set(now_us + Millis(10));
+    let (running, counted) = (Arc::clone(&timer), Arc::clone(&ticks));
     let run = tokio::spawn(async move {
         running
             .run(|| {
--- a/crates/standins/tests/e2e/stalled.rs
+++ b/crates/standins/tests/e2e/stalled.rs
@@ -6,8 +6,8 @@
 use futures_util::future::BoxFuture;
 use futures_util::stream;
 use hibiscusvale::backend::{
-    CachePage, DecodeCall, EngineEdge, EngineFailure, EngineLoad, Held, ImportCall, Imported, Owner,
-    PrefillCall, Prefilled, StreamPart, TokenStream, Trust,
+    CachePage, ConnectionReuse, DecodeCall, EngineClient, EngineFailure, EngineLoad, HeldMemory, ImportCall,
+    Imported, Owner, PrefillCall, Prefilled, StreamPart, TokenStream,
 };
 use hibiscusvale::daemon::{Daemon, Edges, new_incarnation};
 use hibiscusvale_core::order::{Order, OrderOutcome};
@@ -21,40 +21,40 @@
 /// Engines that write as fast as they are read, and note when they are told to stop.
 #[derive(Debug)]
 struct Eager {
-    engines: Arc<dyn EngineEdge>,
+    engines: Arc<dyn EngineClient>,
     cancelled: watch::Sender<bool>,
 }
 
-impl EngineEdge for Eager {
+impl EngineClient for Eager {
     fn prefill(
         &self,
         to: SocketAddr,
         call: PrefillCall,
-        trust: Trust,
+        reuse: ConnectionReuse,
     ) -> BoxFuture<'_, Result<Prefilled, EngineFailure>> {
-        self.engines.prefill(to, call, trust)
+        self.engines.prefill(to, call, reuse)
     }
 
     fn import(
         &self,
         to: SocketAddr,
         call: ImportCall,
-        trust: Trust,
+        reuse: ConnectionReuse,
     ) -> BoxFuture<'_, Result<Imported, EngineFailure>> {
-        self.engines.import(to, call, trust)
+        self.engines.import(to, call, reuse)
     }
 
     fn decode(
         &self,
         _to: SocketAddr,
         call: DecodeCall,
-        _trust: Trust,
+        _reuse: ConnectionReuse,
     ) -> BoxFuture<'_, Result<TokenStream, EngineFailure>> {
         let token = |index| Ok(StreamPart::Token { index, text: "word ".repeat(200) });
         Box::pin(async move { Ok(TokenStream::new(stream::iter((call.from_index..).map(token)))) })
     }
 
-    fn cancel(&self, to: SocketAddr, held: Held) -> BoxFuture<'_, Result<(), EngineFailure>> {
+    fn cancel(&self, to: SocketAddr, held: HeldMemory) -> BoxFuture<'_, Result<(), EngineFailure>> {
         self.cancelled.send_replace(true);
         self.engines.cancel(to, held)
     }
