--- a/crates/client/src/cmd/history.rs
+++ b/crates/client/src/cmd/history.rs
@@ -1,7 +1,7 @@
 //! `hibiscusvale history`.
 
 use gumdrop::Options;
-use hibiscusvale::operators::OperatorsClient;
+use hibiscusvale::operators::OperatorClient;
 use hibiscusvale::operators::views::{ChangeView, ConfigView, VerdictView};
 
 use crate::context::Context;
@@ -21,7 +21,7 @@
 impl History {
     pub(super) async fn run(&self, context: &Context) -> Result<Report, ClientError> {
         let partner = context.partner.as_ref().filter(|_| !self.all);
-        let client = OperatorsClient::default();
+        let client = OperatorClient::default();
         let view = newest_config(&client, context.hosts()?, partner).await?;
         Ok(Report::new(&view, human(&view, hibiscusvale::clock::unix_ms())))
     }
--- a/crates/client/src/cmd/list.rs
+++ b/crates/client/src/cmd/list.rs
@@ -1,7 +1,7 @@
 //! `hibiscusvale list`.
 
 use gumdrop::Options;
-use hibiscusvale::operators::OperatorsClient;
+use hibiscusvale::operators::OperatorClient;
 use hibiscusvale::operators::views::{ConfigView, TargetView};
 use hibiscusvale_core::config::ClassTarget;
 
@@ -25,7 +25,7 @@
 impl List {
     pub(super) async fn run(&self, context: &Context) -> Result<Report, ClientError> {
         let partner = context.partner.as_ref().filter(|_| !self.all);
-        let client = OperatorsClient::default();
+        let client = OperatorClient::default();
         let view = newest_config(&client, context.hosts()?, partner).await?;
         if self.toml {
             return Ok(Report::raw(class_file(&view)));
--- a/crates/client/src/cmd/members.rs
+++ b/crates/client/src/cmd/members.rs
@@ -1,7 +1,7 @@
 //! `hibiscusvale members`.
 
 use gumdrop::Options;
-use hibiscusvale::operators::OperatorsClient;
+use hibiscusvale::operators::OperatorClient;
 use hibiscusvale::operators::views::{MemberView, MembersListView};
 
 use crate::context::Context;
@@ -18,7 +18,7 @@
 
 impl Members {
     pub(super) async fn run(&self, context: &Context) -> Result<Report, ClientError> {
-        let client = OperatorsClient::default();
+        let client = OperatorClient::default();
         let views = answered(ask_all(&client, context.hosts()?, "/control/members").await)?;
         let human = human(&views);
         Ok(Report::new(&views, human))
--- a/crates/client/src/cmd/outcomes.rs
+++ b/crates/client/src/cmd/outcomes.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use gumdrop::Options;
-use hibiscusvale::operators::OperatorsClient;
+use hibiscusvale::operators::OperatorClient;
 use hibiscusvale::operators::views::{ClassOutcomes, CountView, OutcomesView};
 use hibiscusvale_core::ids::{ClassName, PartnerId};
 use serde::Serialize;
@@ -30,7 +30,7 @@
 
 impl Outcomes {
     pub(super) async fn run(&self, context: &Context) -> Result<Report, ClientError> {
-        let client = OperatorsClient::default();
+        let client = OperatorClient::default();
         let answers = ask_all::<OutcomesView>(&client, context.hosts()?, "/control/outcomes").await;
         let views = answered(answers)?;
         let only = context.partner.as_ref().filter(|_| !self.all);
--- a/crates/client/src/cmd/status.rs
+++ b/crates/client/src/cmd/status.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use gumdrop::Options;
-use hibiscusvale::operators::OperatorsClient;
+use hibiscusvale::operators::OperatorClient;
 use hibiscusvale::operators::views::{LogStateView, StatusView};
 use hibiscusvale_core::ids::Offset;
 use serde::Serialize;
@@ -35,7 +35,7 @@
 
 impl Status {
     pub(super) async fn run(&self, context: &Context) -> Result<Report, ClientError> {
-        let client = OperatorsClient::default();
+        let client = OperatorClient::default();
         let answers = ask_all::<StatusView>(&client, context.hosts()?, "/control/status").await;
         let view = view(answers)?;
         let human = human(&view);
--- a/crates/client/src/cmd/wait.rs
+++ b/crates/client/src/cmd/wait.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use gumdrop::Options;
-use hibiscusvale::operators::OperatorsClient;
+use hibiscusvale::operators::OperatorClient;
 use hibiscusvale::operators::views::StatusView;
 use hibiscusvale_core::ids::Offset;
 use hibiscusvale_core::units::Millis;
@@ -39,7 +39,7 @@
 
 impl Wait {
     pub(super) async fn run(&self, context: &Context) -> Result<Report, ClientError> {
-        let client = OperatorsClient::default();
+        let client = OperatorClient::default();
         let offset = match self.offset {
             Some(offset) => offset,
             None => newest(&client, context).await?,
@@ -53,7 +53,7 @@
 }
 
 /// The newest record that any host has in force.
-async fn newest(client: &OperatorsClient, context: &Context) -> Result<Offset, ClientError> {
+async fn newest(client: &OperatorClient, context: &Context) -> Result<Offset, ClientError> {
     let answers = ask_all::<StatusView>(client, context.hosts()?, "/control/status").await;
     let newest = answered(answers)?.into_iter().map(|status| status.next_offset).max();
     Ok(Offset(newest.unwrap_or_default().0.saturating_sub(1)))
--- a/crates/client/src/cmd/why.rs
+++ b/crates/client/src/cmd/why.rs
@@ -2,7 +2,7 @@
 
 use gumdrop::Options;
 use hibiscusvale::operators::views::RequestView;
-use hibiscusvale::operators::{OperatorsClient, OperatorsFailure};
+use hibiscusvale::operators::{OperatorClient, OperatorClientError};
 use hibiscusvale_core::ids::RequestId;
 
 use crate::context::Context;
@@ -22,7 +22,7 @@
 impl Why {
     pub(super) async fn run(&self, context: &Context) -> Result<Report, ClientError> {
         let request_id = or_dash(self.request_id);
-        let client = OperatorsClient::default();
+        let client = OperatorClient::default();
         let path = format!("/control/why/{request_id}");
         let answers = ask_all::<RequestView>(&client, context.hosts()?, &path).await;
         let is_known_nowhere = answers.iter().any(has_answered_no);
@@ -38,7 +38,7 @@
 }
 
 fn has_answered_no(answer: &HostAnswer<RequestView>) -> bool {
-    matches!(answer.view, Err(OperatorsFailure::NotFound))
+    matches!(answer.view, Err(OperatorClientError::NotFound))
 }
 
 fn human(view: &RequestView) -> String {
--- a/crates/client/src/error.rs
+++ b/crates/client/src/error.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 
 use hibiscusvale::external::LogFailure;
-use hibiscusvale::operators::OperatorsFailure;
+use hibiscusvale::operators::OperatorClientError;
 use hibiscusvale_core::ids::{ChangeId, Offset};
 
 /// Exit codes and what they mean. They are part of the interface; scripts rely on them.
@@ -199,7 +199,7 @@
     /// Its operator address.
     pub host: SocketAddr,
     /// Why.
-    pub failure: OperatorsFailure,
+    pub failure: OperatorClientError,
 }
 
 struct ListOf<'a>(&'a [HostFailure]);
--- a/crates/client/src/hosts.rs
+++ b/crates/client/src/hosts.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use hibiscusvale::operators::views::ConfigView;
-use hibiscusvale::operators::{OperatorsClient, OperatorsFailure};
+use hibiscusvale::operators::{OperatorClient, OperatorClientError};
 use hibiscusvale_core::ids::PartnerId;
 use serde::de::DeserializeOwned;
 use tokio::task::JoinSet;
@@ -16,15 +16,11 @@
     /// Its operator address.
     pub host: SocketAddr,
     /// Its view, or why there is none.
-    pub view: Result<View, OperatorsFailure>,
+    pub view: Result<View, OperatorClientError>,
 }
 
 /// Asks all hosts at once for the view at `path`; the answers come in the order of `hosts`.
-pub async fn ask_all<View>(
-    client: &OperatorsClient,
-    hosts: &[SocketAddr],
-    path: &str,
-) -> Vec<HostAnswer<View>>
+pub async fn ask_all<View>(client: &OperatorClient, hosts: &[SocketAddr], path: &str) -> Vec<HostAnswer<View>>
 where
     View: DeserializeOwned + Send + 'static,
 {
@@ -70,7 +66,7 @@
 ///
 /// [`ClientError::NoHost`] when none answered.
 pub async fn newest_config(
-    client: &OperatorsClient,
+    client: &OperatorClient,
     hosts: &[SocketAddr],
     partner: Option<&PartnerId>,
 ) -> Result<ConfigView, ClientError> {
--- a/crates/client/src/publisher.rs
+++ b/crates/client/src/publisher.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use hibiscusvale::external::{AppendError, HttpLog, HttpLogSettings, Log, LogFailure, Stream};
-use hibiscusvale::operators::OperatorsClient;
+use hibiscusvale::operators::OperatorClient;
 use hibiscusvale::operators::views::{ChangeView, ConfigView, PartnerView, VerdictView};
 use hibiscusvale_core::config::{ChangeBody, ClassChange, ClassTarget, MAX_RECORD_BYTES, Record};
 use hibiscusvale_core::ids::{ChangeId, Offset};
@@ -74,7 +74,7 @@
 #[derive(Debug)]
 pub struct Publisher<'a> {
     context: &'a Context,
-    client: OperatorsClient,
+    client: OperatorClient,
     log: HttpLog,
 }
 
@@ -95,7 +95,7 @@
     pub fn new(context: &'a Context) -> Result<Self, ClientError> {
         Ok(Self {
             context,
-            client: OperatorsClient::default(),
+            client: OperatorClient::default(),
             log: HttpLog::new(context.log()?, HttpLogSettings::default()),
         })
     }
@@ -237,7 +237,7 @@
 ///
 /// [`ClientError::NotInForce`] with the hosts that lag.
 pub async fn wait_in_force(
-    client: &OperatorsClient,
+    client: &OperatorClient,
     context: &Context,
     offset: Offset,
     until: Instant,
--- a/crates/client/tests/client/watching.rs
+++ b/crates/client/tests/client/watching.rs
@@ -48,11 +48,11 @@
     let (partner, class) = ("nadifa".parse().expect("a partner"), "summary".parse().expect("a class"));
     for daemon in &world.daemons {
         let counted = daemon.metrics.class(&partner, &class);
-        counted.finished(Mark::Answered);
-        counted.finished(Mark::NotRun);
-        counted.refused(Mark::QueueFull);
-        counted.met_targets();
-        counted.prefilled(Tokens(100));
+        counted.record_outcome(Mark::Answered);
+        counted.record_outcome(Mark::NotRun);
+        counted.record_refusal(Mark::QueueFull);
+        counted.record_goodput();
+        counted.record_prefill(Tokens(100));
     }
     let outcomes = world.run(&["outcomes"]).await;
     let class = &outcomes.json["classes"][0];
@@ -71,7 +71,7 @@
 async fn why_finds_the_host_that_took_the_request_in() {
     let world = World::new("why", 2).await;
     let request_id = RequestId { incarnation: Incarnation(2), sequence: 31 };
-    world.daemons[1].recent.note(RequestRecord {
+    world.daemons[1].recent.insert(RequestRecord {
         request_id,
         partner: Some("nadifa".parse().expect("a partner")),
         class: None,
--- a/crates/client/tests/client/world.rs
+++ b/crates/client/tests/client/world.rs
@@ -11,7 +11,7 @@
 use hibiscusvale::external::{HttpLog, HttpLogSettings};
 use hibiscusvale::logging::Log;
 use hibiscusvale::metrics::Metrics;
-use hibiscusvale::operators::{OperatorListener, OperatorsParts, Readiness, RecentRequests};
+use hibiscusvale::operators::{OperatorListener, OperatorSources, Readiness, RecentRequests};
 use hibiscusvale::settings::{ConfigSettings, HostSettings, LogLevel};
 use hibiscusvale::spread::ConfigFeed;
 use hibiscusvale_cli::cmd::Args;
@@ -137,7 +137,7 @@
     let listener = OperatorListener::bind("127.0.0.1:0".parse().expect("an address")).expect("a socket");
     let address = listener.address().expect("an address");
     let stop = CancellationToken::new();
-    let parts = OperatorsParts {
+    let parts = OperatorSources {
         host,
         incarnation: Incarnation(index as u128 + 1),
         config: config.clone(),
--- a/crates/router/src/clock.rs
+++ b/crates/router/src/clock.rs
@@ -1,4 +1,4 @@
-//! The process's monotonic clock. Only edges and services read it; decisions get the time as an argument.
+//! Monotonic clock of the process. Only I/O code and services read it; decision logic takes the time as an argument.
 
 use std::sync::LazyLock;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -8,9 +8,9 @@
 
 static START: LazyLock<Duration> = LazyLock::new(boot_time);
 
-/// Time since the process first asked for it, on a clock that never goes back and that counts the time for which the
-/// host was suspended. The usual monotonic clock does not: a lease or a KV cache that ran out meanwhile would look as
-/// good as new.
+/// Time since the first call in this process, in microseconds. Reads `CLOCK_BOOTTIME`, which includes time that the
+/// host spent suspended. `CLOCK_MONOTONIC` stops during suspend, so leases and KV caches that expired meanwhile would
+/// still look valid.
 pub fn now() -> MonoTime {
     MonoTime(u64::try_from(boot_time().saturating_sub(*START).as_micros()).unwrap_or(u64::MAX))
 }
@@ -19,7 +19,7 @@
     Duration::try_from(clock_gettime(ClockId::Boottime)).unwrap_or_default()
 }
 
-/// Wall-clock milliseconds; for incarnations and for people, never for a decision.
+/// Wall-clock time in milliseconds since the Unix epoch; for incarnations and display only, never for decisions.
 pub fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -162,18 +162,18 @@
             Ok(Ok(Adopted::Newer)) => {
                 self.has_peer_state = true;
                 self.heard_us = now_us;
-                self.metrics.event(ConfigEvent::StateAdopted);
+                self.metrics.count_event(ConfigEvent::StateAdopted);
                 // The peer's log is taken to hold a checkpoint near its state; a host that is replaced must not
                 // write one at each start.
                 self.writer.seen(self.fold.state().next_offset(), now_us);
             }
             Ok(Ok(Adopted::NotNewer)) => self.has_peer_state = true,
             Ok(Err(error)) => {
-                self.metrics.event(ConfigEvent::StateForged);
+                self.metrics.count_event(ConfigEvent::StateForged);
                 self.logging.fault("could not adopt a peer's configuration", &error);
             }
             Err(error) => {
-                self.metrics.event(ConfigEvent::StateForged);
+                self.metrics.count_event(ConfigEvent::StateForged);
                 self.logging.fault("could not read a peer's configuration", &error);
             }
         }
@@ -197,7 +197,7 @@
                 if self.current.log_failure != Some(failure) {
                     self.logging.fault("could not read the configuration stream", &failure);
                 }
-                self.metrics.event(ConfigEvent::ReadFailed);
+                self.metrics.count_event(ConfigEvent::ReadFailed);
                 self.current.log_failure = Some(failure);
             }
         }
@@ -225,10 +225,10 @@
 
     fn note_intake(&self, intake: &FoldOutcome) {
         for _ in 0..intake.accepted {
-            self.metrics.event(ConfigEvent::Accepted);
+            self.metrics.count_event(ConfigEvent::Accepted);
         }
         for rejected in &intake.rejected {
-            self.metrics.event(ConfigEvent::Rejected);
+            self.metrics.count_event(ConfigEvent::Rejected);
             let publisher = rejected.publisher.as_ref();
             self.logging.config_rejected(rejected.offset, publisher, &rejected.reason);
         }
@@ -236,9 +236,9 @@
 
     fn note_written(&self, written: Result<Offset, crate::external::AppendError>) {
         match written {
-            Ok(_) => self.metrics.event(ConfigEvent::CheckpointWritten),
+            Ok(_) => self.metrics.count_event(ConfigEvent::CheckpointWritten),
             Err(error) => {
-                self.metrics.event(ConfigEvent::CheckpointFailed);
+                self.metrics.count_event(ConfigEvent::CheckpointFailed);
                 self.logging.fault("could not write a configuration checkpoint", &error);
             }
         }
@@ -287,7 +287,7 @@
             return;
         };
         if spread.try_send(request).is_err() {
-            self.metrics.event(ConfigEvent::SpreadBusy);
+            self.metrics.count_event(ConfigEvent::SpreadBusy);
         }
     }
 }
--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -23,7 +23,6 @@
 use crate::daemon::{Edges, StartError};
 use crate::directory::Directory;
 use crate::dispatch::{Hub, PlainHub};
-use crate::figures::Figures;
 use crate::inbound;
 use crate::kernel::{INBOX_CAPACITY, Kernel, ServiceName};
 use crate::leases::{LeaseParts, LeaseService};
@@ -33,7 +32,8 @@
 use crate::membership::{MembershipHandle, MembershipRequest, MembershipService};
 use crate::meter::MeterService;
 use crate::metrics::Metrics;
-use crate::operators::{OperatorListener, OperatorsParts};
+use crate::metrics_reporter::MetricsReporter;
+use crate::operators::{OperatorListener, OperatorSources};
 use crate::peer::{LinkSettings, NngLink};
 use crate::settings::Settings;
 use crate::signs;
@@ -217,7 +217,7 @@
     pub fn serve_operators(
         &self,
         address: SocketAddr,
-        parts: OperatorsParts,
+        parts: OperatorSources,
     ) -> Result<SocketAddr, StartError> {
         let failed = |source| StartError::Listen { address, source };
         let listener = OperatorListener::bind(address).map_err(failed)?;
@@ -227,7 +227,7 @@
         self.runtime.spawn(async move {
             // The sender ends with the control thread, and this task with it.
             if is_ready.wait_for(|ready| *ready).await.is_ok() {
-                readiness.host_list_known();
+                readiness.set_host_list_known();
             }
         });
         self.runtime.spawn(listener.serve(parts, self.stop.clone()));
@@ -240,7 +240,7 @@
     }
 
     /// Publishes figures of this daemon as metrics.
-    pub fn publish_figures(&self, figures: Figures) {
+    pub fn publish_figures(&self, figures: MetricsReporter) {
         self.runtime.spawn(figures.run());
     }
 
--- a/crates/router/src/counted_log.rs
+++ b/crates/router/src/counted_log.rs
@@ -1,7 +1,7 @@
-//! The platform's log with its use counted.
+//! Wraps the platform's log and counts calls to it.
 //!
-//! The log takes several hundred appends a second from all hosts together. Operators see here who uses them, and
-//! how many ended without a word of their effect.
+//! The log accepts several hundred appends a second over all hosts together. The counters show which component uses
+//! them, and how many appends ended with an unknown result.
 
 use std::sync::Arc;
 
@@ -13,9 +13,9 @@
 use crate::external::{AppendError, Log, LogFailure, LogPage, Stream};
 use crate::metrics::{Label, Metrics};
 
-/// What a call to the log came to.
+/// Result of a call to the log, as counted.
 #[derive(Clone, Copy, Debug)]
-enum LogUse {
+enum LogCallResult {
     ClaimsAppended,
     ConfigAppended,
     LeaseAppended,
@@ -24,7 +24,7 @@
     ReadFailed,
 }
 
-impl Label for LogUse {
+impl Label for LogCallResult {
     fn label(self) -> &'static str {
         match self {
             Self::ClaimsAppended => "log-append-claims",
@@ -37,7 +37,7 @@
     }
 }
 
-/// A log whose calls are counted.
+/// [`Log`] that counts its calls.
 #[derive(Debug)]
 pub struct CountedLog {
     log: Arc<dyn Log>,
@@ -45,7 +45,7 @@
 }
 
 impl CountedLog {
-    /// Counts the calls to `log` in `metrics`.
+    /// Wraps `log` and counts its calls in `metrics`.
     pub fn new(log: Arc<dyn Log>, metrics: Metrics) -> Self {
         Self { log, metrics }
     }
@@ -55,12 +55,12 @@
     fn append(&self, stream: Stream, records: Vec<Bytes>) -> BoxFuture<'_, Result<Offset, AppendError>> {
         Box::pin(async move {
             let result = self.log.append(stream, records).await;
-            self.metrics.event(match (&result, stream) {
-                (Ok(_), Stream::Claims(_)) => LogUse::ClaimsAppended,
-                (Ok(_), Stream::Config) => LogUse::ConfigAppended,
-                (Ok(_), Stream::Leases) => LogUse::LeaseAppended,
-                (Err(AppendError::NotAppended { .. }), _) => LogUse::AppendRefused,
-                (Err(AppendError::Unknown { .. }), _) => LogUse::AppendUnknown,
+            self.metrics.count_event(match (&result, stream) {
+                (Ok(_), Stream::Claims(_)) => LogCallResult::ClaimsAppended,
+                (Ok(_), Stream::Config) => LogCallResult::ConfigAppended,
+                (Ok(_), Stream::Leases) => LogCallResult::LeaseAppended,
+                (Err(AppendError::NotAppended { .. }), _) => LogCallResult::AppendRefused,
+                (Err(AppendError::Unknown { .. }), _) => LogCallResult::AppendUnknown,
             });
             result
         })
@@ -76,7 +76,7 @@
         Box::pin(async move {
             let result = self.log.read(stream, from, limit, wait_ms).await;
             if result.is_err() {
-                self.metrics.event(LogUse::ReadFailed);
+                self.metrics.count_event(LogCallResult::ReadFailed);
             }
             result
         })
--- a/crates/router/src/daemon.rs
+++ b/crates/router/src/daemon.rs
@@ -28,12 +28,12 @@
 use crate::directory::Directory;
 use crate::dispatch::{Demand, Dispatcher, Hub, LoanRequestSender, Observer, PlainHub, Releases};
 use crate::external::{HostList, HttpHostList, HttpLog, HttpLogSettings, HttpWeightStore, Log, WeightStore};
-use crate::figures::Figures;
 use crate::kernel::{KernelError, ServiceName};
 use crate::leases::LeaseParts;
 use crate::logging::{self, LoggingError};
 use crate::metrics::{Metrics, MetricsError};
-use crate::operators::{OperatorsParts, Readiness, RecentRequests};
+use crate::metrics_reporter::MetricsReporter;
+use crate::operators::{OperatorSources, Readiness, RecentRequests};
 use crate::peer::{LinkError, NngLink};
 use crate::settings::Settings;
 use crate::slot_route::SlotRoute;
@@ -154,7 +154,7 @@
         let observed = Observed::new(settings, &control, metrics, log);
         let operators_address = observed.serve(settings, incarnation, &control)?;
         let tasks = TaskTracker::new();
-        control.publish_figures(Figures {
+        control.publish_figures(MetricsReporter {
             usage: Arc::clone(&control.services.usage),
             members: Arc::clone(&control.services.members.view),
             membership_counts: Arc::clone(&control.services.members.counts),
@@ -269,7 +269,7 @@
     pub fn stop(self) {
         let Self { readiness, stop_listening, traffic, serving, control, tasks, releases, grace_ms, .. } =
             self;
-        readiness.drain();
+        readiness.start_draining();
         control.leave();
         traffic.block_on(async {
             // New work still arrives until the balancer has noticed that readiness fails.
@@ -379,7 +379,7 @@
         incarnation: Incarnation,
         control: &RunningControl,
     ) -> Result<SocketAddr, StartError> {
-        let parts = OperatorsParts {
+        let parts = OperatorSources {
             host: settings.host.clone(),
             incarnation,
             config: control.services.config.clone(),
--- a/crates/router/src/directory.rs
+++ b/crates/router/src/directory.rs
@@ -217,8 +217,8 @@
     pub fn take(&self, page: HostListPage) {
         let known = self.listing();
         match page.change {
-            HostListChange::Whole(entries) if entries.is_empty() && known.version > 0 => {}
-            HostListChange::Whole(entries) => self.adopt(Listing::new(page.version, entries)),
+            HostListChange::Full(entries) if entries.is_empty() && known.version > 0 => {}
+            HostListChange::Full(entries) => self.adopt(Listing::new(page.version, entries)),
             HostListChange::Some { set, remove } => {
                 if !(set.is_empty() && remove.is_empty()) {
                     self.adopt(known.changed(page.version, set, &remove));
--- a/crates/router/src/dispatch/observe.rs
+++ b/crates/router/src/dispatch/observe.rs
@@ -99,12 +99,12 @@
     where
         Fault: Label,
     {
-        self.metrics.event(fault);
+        self.metrics.count_event(fault);
     }
 
     /// Records a request that was refused before its partner's class was looked up.
     pub fn refused_early(&self, request_id: RequestId, refusal: Refusal) {
-        self.metrics.event(refusal.reason);
+        self.metrics.count_event(refusal.reason);
         let line = RequestLine {
             request_id,
             partner: None,
@@ -193,7 +193,7 @@
     ) {
         self.attempts = attempt;
         if let Some(cause) = restart_cause {
-            self.metrics.retried(cause);
+            self.metrics.record_retry(cause);
             self.log.request_retried(self.request_id, cause);
             self.record_waste(cause);
         }
@@ -202,7 +202,7 @@
 
     /// Records that `tokens` of a prompt were prefilled.
     pub fn prefilled(&mut self, tokens: Tokens) {
-        self.metrics.prefilled(tokens);
+        self.metrics.record_prefill(tokens);
         self.prefilled_tokens = tokens;
     }
 
@@ -214,14 +214,14 @@
     /// Records the start of a token stream, or that it is resumed by index on a new connection.
     pub fn decode_starts(&mut self, server: &BackendServerId, resume: bool) {
         if resume {
-            self.metrics.retried(Resumed);
+            self.metrics.record_retry(Resumed);
         }
         self.record_step(if resume { Resumed.label() } else { "decode" }, Some(server));
     }
 
     /// Records that a step at a backend server failed.
     pub fn step_failed(&mut self, server: &BackendServerId, cause: FailureCause) {
-        self.metrics.retried(cause);
+        self.metrics.record_retry(cause);
         self.record_step(cause.label(), Some(server));
     }
 
@@ -235,7 +235,7 @@
     pub fn first_token(&mut self, now_us: MonoTime) {
         self.first_token_us = Some(now_us);
         self.prefilled_tokens = Tokens::ZERO;
-        self.metrics.first_token(now_us.since(self.arrived_us));
+        self.metrics.record_first_token(now_us.since(self.arrived_us));
         self.record_step("first-token", None);
     }
 
@@ -253,9 +253,9 @@
             RequestTarget::Plain { response_ms } => now_us <= self.arrived_us + response_ms,
         };
         if met_targets {
-            self.metrics.met_targets();
+            self.metrics.record_goodput();
         }
-        self.metrics.finished(Outcome::Answered);
+        self.metrics.record_outcome(Outcome::Answered);
         self.log.request_finished(self.log_line(now_us, Outcome::Answered));
         self.record_recent(now_us, Outcome::Answered.label(), None);
     }
@@ -266,7 +266,7 @@
         };
         let further_tokens = tokens.0.saturating_sub(1);
         if let Some(per_token_us) = now_us.since(first_us).0.checked_div(further_tokens) {
-            self.metrics.per_token(Micros(per_token_us));
+            self.metrics.record_per_token(Micros(per_token_us));
         }
         let allowed_us = Micros::from(target.per_token_ms).0.saturating_mul(further_tokens);
         first_us <= self.arrived_us + target.first_token_ms && now_us.since(first_us).0 <= allowed_us
@@ -274,8 +274,8 @@
 
     /// Records that the request was refused, or ended without an answer.
     pub fn refused(&mut self, now_us: MonoTime, refusal: Refusal) {
-        self.metrics.refused(refusal.reason);
-        self.metrics.finished(refusal.outcome);
+        self.metrics.record_refusal(refusal.reason);
+        self.metrics.record_outcome(refusal.outcome);
         self.log.request_refused(self.log_line(now_us, refusal.outcome), refusal.reason);
         self.record_recent(now_us, refusal.outcome.label(), Some(refusal.reason.label()));
     }
@@ -283,14 +283,14 @@
     /// Records that the caller left before the request ended.
     pub fn caller_left(&mut self, now_us: MonoTime) {
         self.record_waste(WasteCause::CallerLeft);
-        self.metrics.finished(CallerLeft);
+        self.metrics.record_outcome(CallerLeft);
         self.log.request_finished(self.log_line(now_us, CallerLeft));
         self.record_recent(now_us, CallerLeft.label(), None);
     }
 
     fn record_recent(&mut self, now_us: MonoTime, outcome: &'static str, refusal: Option<&'static str>) {
         self.has_ended = true;
-        self.recent.note(RequestRecord {
+        self.recent.insert(RequestRecord {
             request_id: self.request_id,
             partner: Some(self.partner.clone()),
             class: Some(self.class.clone()),
@@ -305,7 +305,7 @@
     fn record_waste(&mut self, cause: WasteCause) {
         let tokens = std::mem::take(&mut self.prefilled_tokens);
         if tokens > Tokens::ZERO {
-            self.metrics.wasted_prefill(cause, tokens);
+            self.metrics.record_wasted_prefill(cause, tokens);
         }
     }
 
--- a/crates/router/src/external/host_list.rs
+++ b/crates/router/src/external/host_list.rs
@@ -1,4 +1,4 @@
-//! The host list by HTTP.
+//! HTTP client of the host list.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,13 +13,13 @@
 use super::{HostList, HostListChange, HostListPage, ListedHost, PlatformFailure};
 use crate::backend::{BackendHttp, CallFailure, ConnectionReuse, read_body, uri};
 
-/// Beyond the time that the list may hold its answer back.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Response timeout in addition to the requested long-polling wait.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A list of 12,000 entries at some 300 bytes each, with room.
-const LIST_LIMIT_BYTES: usize = 16 << 20;
+/// Largest response; leaves room above 12,000 entries of about 300 bytes each.
+const MAX_LIST_BYTES: usize = 16 << 20;
 
-/// [`HostList`] by HTTP.
+/// [`HostList`] over HTTP.
 #[derive(Clone, Debug)]
 pub struct HttpHostList {
     http: BackendHttp,
@@ -27,7 +27,7 @@
 }
 
 #[derive(Deserialize)]
-struct Page {
+struct ListResponse {
     version: u64,
     entries: Option<Vec<ListedHost>>,
     #[serde(default)]
@@ -37,26 +37,26 @@
 }
 
 impl HttpHostList {
-    /// Makes a client of the list at `address`.
+    /// Creates a client for the host list at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self { http: BackendHttp::new(), address }
     }
 
     async fn fetch(&self, after: u64, wait_ms: Millis) -> Result<HostListPage, CallFailure> {
-        let timeout = Duration::from(wait_ms) + ANSWER_TIMEOUT;
+        let timeout = Duration::from(wait_ms) + RESPONSE_TIMEOUT;
         let path = format!("/hosts?after={after}&wait_ms={}", wait_ms.0);
         let request = Request::builder()
             .uri(uri(self.address, &path)?)
             .body(Full::default())
             .map_err(|_| CallFailure::Malformed)?;
         let response = self.http.send(ConnectionReuse::Fresh, request, timeout).await?;
-        let body = read_body(response.into_body(), LIST_LIMIT_BYTES, timeout).await?;
-        let page: Page = serde_json::from_slice(&body).map_err(|_| CallFailure::Malformed)?;
-        let change = match page.entries {
-            Some(entries) => HostListChange::Whole(entries),
-            None => HostListChange::Some { set: page.set, remove: page.remove },
+        let body = read_body(response.into_body(), MAX_LIST_BYTES, timeout).await?;
+        let list: ListResponse = serde_json::from_slice(&body).map_err(|_| CallFailure::Malformed)?;
+        let change = match list.entries {
+            Some(entries) => HostListChange::Full(entries),
+            None => HostListChange::Some { set: list.set, remove: list.remove },
         };
-        Ok(HostListPage { version: page.version, change })
+        Ok(HostListPage { version: list.version, change })
     }
 }
 
--- a/crates/router/src/external/log.rs
+++ b/crates/router/src/external/log.rs
@@ -1,4 +1,4 @@
-//! The append-only log by HTTP.
+//! HTTP client of the append-only log.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -17,72 +17,72 @@
 use super::{AppendError, Log, LogFailure, LogPage, LogRecord, Stream};
 use crate::backend::{BackendHttp, CallFailure, ConnectionReuse, read_body, uri};
 
-/// Header in which the log says when to come back.
+/// Response header with the delay before a retry, in milliseconds.
 const RETRY_AFTER_MS: &str = "retry-after-ms";
 
-/// Largest answer that is read: 1,000 records of 8 KB, or a few checkpoints.
-const ANSWER_LIMIT_BYTES: usize = 32 << 20;
+/// Largest response: holds 1,000 records of 8 KB, or a few checkpoints.
+const MAX_RESPONSE_BYTES: usize = 32 << 20;
 
-/// How long the log may take.
+/// Timeouts for calls to the log.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct HttpLogSettings {
-    /// For an append. Beyond it the outcome is unknown.
+    /// Timeout of an append, after which its outcome is unknown.
     pub append_timeout_ms: Millis,
-    /// For a read, beyond the time that it asks the log to wait. Short, because a connection that went silent
-    /// is noticed by nothing else and news must arrive within seconds all the same.
-    pub read_slack_ms: Millis,
+    /// Timeout of a read in addition to the long-polling wait. It is short because nothing else detects a dead
+    /// connection, and new records must arrive within seconds even then.
+    pub read_margin_ms: Millis,
 }
 
 impl Default for HttpLogSettings {
     fn default() -> Self {
-        Self { append_timeout_ms: Millis(3_000), read_slack_ms: Millis(1_000) }
+        Self { append_timeout_ms: Millis(3_000), read_margin_ms: Millis(1_000) }
     }
 }
 
-/// [`Log`] by HTTP.
+/// [`Log`] over HTTP.
 #[derive(Debug)]
 pub struct HttpLog {
     http: BackendHttp,
     address: SocketAddr,
     settings: HttpLogSettings,
-    /// Set by a read that got no answer: pooled connections may have gone silent with it, so the next read
-    /// opens one of its own.
-    distrusts_pool: AtomicBool,
+    /// Set when a read got no response. Pooled connections may be dead too, so the next read opens a new
+    /// connection.
+    bypasses_pool: AtomicBool,
 }
 
 #[derive(Serialize)]
-struct AppendCall {
+struct AppendRequest {
     records: Vec<String>,
 }
 
 #[derive(Deserialize)]
-struct AppendAnswer {
+struct AppendResponse {
     first_offset: Offset,
 }
 
 #[derive(Deserialize)]
-struct ReadAnswer {
+struct ReadResponse {
     start_offset: Offset,
     next_offset: Offset,
-    records: Vec<ReadRecord>,
+    records: Vec<RecordJson>,
 }
 
 #[derive(Deserialize)]
-struct ReadRecord {
+struct RecordJson {
     offset: Offset,
     data: String,
 }
 
 impl HttpLog {
-    /// Makes a client of the log at `address`.
+    /// Creates a client for the log at `address`.
     pub fn new(address: SocketAddr, settings: HttpLogSettings) -> Self {
-        Self { http: BackendHttp::new(), address, settings, distrusts_pool: AtomicBool::new(false) }
+        Self { http: BackendHttp::new(), address, settings, bypasses_pool: AtomicBool::new(false) }
     }
 
-    /// Appends over a connection of its own. An append may not be repeated blindly, and an idle connection
-    /// that has gone silent would make its outcome unknown for nothing.
+    /// Appends over a new connection. An append must not be retried blindly, and a dead pooled connection would
+    /// needlessly make its outcome unknown.
     async fn append_records(&self, stream: Stream, records: Vec<Bytes>) -> Result<Offset, AppendError> {
-        let call = AppendCall { records: records.iter().map(|data| STANDARD.encode(data)).collect() };
+        let call = AppendRequest { records: records.iter().map(|data| STANDARD.encode(data)).collect() };
         let request = append_request(self.address, stream, &call).ok_or(NOT_SENT)?;
         let timeout = Duration::from(self.settings.append_timeout_ms);
         let response =
@@ -92,10 +92,10 @@
             return Err(append_refusal(status, response.headers()));
         }
         let body =
-            read_body(response.into_body(), ANSWER_LIMIT_BYTES, timeout).await.map_err(append_failure)?;
-        let answer: AppendAnswer = serde_json::from_slice(&body)
+            read_body(response.into_body(), MAX_RESPONSE_BYTES, timeout).await.map_err(append_failure)?;
+        let response_body: AppendResponse = serde_json::from_slice(&body)
             .map_err(|_| AppendError::Unknown { cause: LogFailure::Malformed })?;
-        Ok(answer.first_offset)
+        Ok(response_body.first_offset)
     }
 
     async fn read_page(
@@ -105,14 +105,14 @@
         limit: u32,
         wait_ms: Millis,
     ) -> Result<LogPage, LogFailure> {
-        let trust = if self.distrusts_pool.load(Ordering::Relaxed) {
+        let trust = if self.bypasses_pool.load(Ordering::Relaxed) {
             ConnectionReuse::Fresh
         } else {
             ConnectionReuse::Pooled
         };
         let page = self.try_read(trust, stream, from, limit, wait_ms).await;
-        let is_silent = matches!(page, Err(LogFailure::Timeout | LogFailure::Unreachable));
-        self.distrusts_pool.store(is_silent, Ordering::Relaxed);
+        let is_unresponsive = matches!(page, Err(LogFailure::Timeout | LogFailure::Unreachable));
+        self.bypasses_pool.store(is_unresponsive, Ordering::Relaxed);
         page
     }
 
@@ -130,7 +130,7 @@
             .uri(uri(self.address, &path).map_err(read_failure)?)
             .body(Full::default())
             .map_err(|_| LogFailure::Malformed)?;
-        let timeout = Duration::from(wait_ms + self.settings.read_slack_ms);
+        let timeout = Duration::from(wait_ms + self.settings.read_margin_ms);
         let response = self.http.send(trust, request, timeout).await.map_err(read_failure)?;
         match response.status() {
             StatusCode::OK => {}
@@ -139,9 +139,9 @@
             _ => return Err(LogFailure::Malformed),
         }
         let body =
-            read_body(response.into_body(), ANSWER_LIMIT_BYTES, timeout).await.map_err(read_failure)?;
-        let answer: ReadAnswer = serde_json::from_slice(&body).map_err(|_| LogFailure::Malformed)?;
-        page_of(answer)
+            read_body(response.into_body(), MAX_RESPONSE_BYTES, timeout).await.map_err(read_failure)?;
+        let response_body: ReadResponse = serde_json::from_slice(&body).map_err(|_| LogFailure::Malformed)?;
+        parse_page(response_body)
     }
 }
 
@@ -163,7 +163,7 @@
 
 const NOT_SENT: AppendError = AppendError::NotAppended { cause: LogFailure::Malformed, retry_after_ms: None };
 
-/// Name of a stream in the log's addresses.
+/// Name of a stream in request paths.
 fn stream_name(stream: Stream) -> String {
     match stream {
         Stream::Config => "config".to_owned(),
@@ -172,7 +172,7 @@
     }
 }
 
-fn append_request(address: SocketAddr, stream: Stream, call: &AppendCall) -> Option<Request<Full<Bytes>>> {
+fn append_request(address: SocketAddr, stream: Stream, call: &AppendRequest) -> Option<Request<Full<Bytes>>> {
     let path = format!("/log/{}/append", stream_name(stream));
     let body = serde_json::to_vec(call).ok()?;
     Request::post(uri(address, &path).ok()?)
@@ -181,8 +181,8 @@
         .ok()
 }
 
-/// Only a connection that never opened proves that nothing was appended. After that the log may have acted
-/// although its answer did not come.
+/// Only a connection that was never established proves that nothing was appended. Otherwise the log may have processed
+/// the request although its response was lost.
 fn append_failure(failure: CallFailure) -> AppendError {
     match failure {
         CallFailure::NotSent => {
@@ -194,8 +194,8 @@
     }
 }
 
-/// The log's own refusals prove that it did not append. Other statuses may come from anything on the way,
-/// behind which the log may have acted.
+/// Refusals by the log itself prove that nothing was appended. Other statuses may come from an intermediary after the
+/// log has processed the request.
 fn append_refusal(status: StatusCode, headers: &HeaderMap) -> AppendError {
     let cause = match status {
         StatusCode::SERVICE_UNAVAILABLE => LogFailure::Down,
@@ -217,14 +217,14 @@
     }
 }
 
-fn page_of(answer: ReadAnswer) -> Result<LogPage, LogFailure> {
-    let records = answer.records.into_iter().map(|record| {
+fn parse_page(response: ReadResponse) -> Result<LogPage, LogFailure> {
+    let records = response.records.into_iter().map(|record| {
         let data = STANDARD.decode(&record.data).map_err(|_| LogFailure::Malformed)?;
         Ok(LogRecord { offset: record.offset, data: Bytes::from(data) })
     });
     Ok(LogPage {
-        start_offset: answer.start_offset,
-        next_offset: answer.next_offset,
+        start_offset: response.start_offset,
+        next_offset: response.next_offset,
         records: records.collect::<Result<_, LogFailure>>()?,
     })
 }
--- a/crates/router/src/external/mod.rs
+++ b/crates/router/src/external/mod.rs
@@ -1,5 +1,4 @@
-//! The services outside that the router uses, each behind one trait: the append-only log, the host list, the
-//! weight store.
+//! External platform services, each behind a trait: the append-only log, the host list and the weight store.
 
 mod host_list;
 mod log;
@@ -18,83 +17,83 @@
 pub use log::{HttpLog, HttpLogSettings};
 pub use weight_store::HttpWeightStore;
 
-/// A stream of the platform's log. The set is closed: each user of the log is named here, and so is counted
-/// in `docs/CAPACITY.md`.
+/// Stream of the platform's log. The set is closed, so that every user of the log is listed here and accounted for in
+/// `docs/CAPACITY.md`.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub enum Stream {
-    /// Configuration records of operators, and checkpoints of them.
+    /// Configuration records published by operators, and checkpoints of the resulting state.
     Config,
-    /// Idempotency claims; the number is the partition.
+    /// Idempotency claims of the given partition.
     Claims(u16),
-    /// Leases over orders to engines.
+    /// Leases for the right to send orders to engines.
     Leases,
 }
 
-/// One record as read.
+/// Record read from the log.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LogRecord {
-    /// Where it stands.
+    /// Offset in the stream.
     pub offset: Offset,
-    /// What was appended.
+    /// Payload as appended.
     pub data: Bytes,
 }
 
-/// What one read returned.
+/// Result of one read.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LogPage {
-    /// Oldest offset that the log still keeps.
+    /// Oldest retained offset.
     pub start_offset: Offset,
-    /// Offset at which the next append will stand.
+    /// Offset that the next append will get.
     pub next_offset: Offset,
-    /// The records from the offset asked for.
+    /// Records from the requested offset on.
     pub records: Vec<LogRecord>,
 }
 
-/// An append that is not known to have taken effect.
+/// Failed append.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum AppendError {
-    /// It took no effect: the log refused it, or was not reached.
-    #[error("log did not take the records: {cause}")]
+    /// The records were not appended: the log refused them or was not reached.
+    #[error("records were not appended to the log: {cause}")]
     NotAppended {
-        /// Why.
+        /// Cause of the failure.
         cause: LogFailure,
-        /// When the log asks to come back, if it said so.
+        /// Delay before a retry that the log asked for, if any.
         retry_after_ms: Option<Millis>,
     },
-    /// It may have taken effect: the answer was lost. Whoever needs to know reads the stream.
-    #[error("log did not confirm the records, they may stand: {cause}")]
+    /// The response was lost, so the records may have been appended. Read the stream to find out.
+    #[error("log did not confirm the append, the records may have been written: {cause}")]
     Unknown {
-        /// Why.
+        /// Cause of the failure.
         cause: LogFailure,
     },
 }
 
-/// Why a call to the log failed.
+/// Reason why a call to the log failed.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, thiserror::Error)]
 pub enum LogFailure {
-    /// No connection.
-    #[error("not reachable")]
+    /// The service could not be reached.
+    #[error("service unreachable")]
     Unreachable,
-    /// The log says that it is down.
+    /// The log reported that it is unavailable.
     #[error("down")]
     Down,
-    /// The log says that its rate is used up.
-    #[error("over its rate")]
+    /// The log reported that its rate limit is exceeded.
+    #[error("log rate limit exceeded")]
     OverRate,
-    /// No answer in time.
-    #[error("no answer in time")]
+    /// The service did not respond in time.
+    #[error("no response in time")]
     Timeout,
-    /// An answer that does not fit the interface.
-    #[error("answer not understood")]
+    /// The response does not match the interface.
+    #[error("malformed response")]
     Malformed,
 }
 
-/// The append-only log service.
+/// Append-only log service.
 pub trait Log: Debug + Send + Sync + 'static {
-    /// Appends records that get consecutive offsets; returns the first.
+    /// Appends records at consecutive offsets and returns the first offset.
     fn append(&self, stream: Stream, records: Vec<Bytes>) -> BoxFuture<'_, Result<Offset, AppendError>>;
 
-    /// Reads at most `limit` records from `from`, waiting up to `wait_ms` for the first.
+    /// Reads up to `limit` records from offset `from`. Waits up to `wait_ms` when there is none yet.
     fn read(
         &self,
         stream: Stream,
@@ -104,146 +103,146 @@
     ) -> BoxFuture<'_, Result<LogPage, LogFailure>>;
 }
 
-/// Whether a listed host is to get new work.
+/// Whether a listed host accepts new work.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListedState {
-    /// It takes work.
+    /// Accepts new work.
     Live,
-    /// It finishes what it has.
+    /// Finishes its current work and accepts no more.
     Leaving,
 }
 
-/// What an engine does.
+/// Role of an engine.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EngineRole {
-    /// Reads prompts.
+    /// Processes prompts.
     Prefill,
-    /// Writes tokens.
+    /// Generates tokens.
     Decode,
 }
 
-/// One entry of the platform's list of hosts. See `docs/INTERFACES.md`.
+/// Entry of the platform's host list. See `docs/INTERFACES.md`.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct ListedHost {
-    /// Its name.
+    /// Name of the host.
     pub id: BackendServerId,
-    /// What runs there.
+    /// Kind of service that runs on it.
     pub kind: ListedKind,
-    /// Where it takes requests.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Where the daemon of an entry host takes messages of other daemons.
+    /// Address for messages between daemons; set for entry hosts only.
     #[serde(default)]
     pub peer_address: Option<SocketAddr>,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentreId,
-    /// Its region.
+    /// Region of the host.
     pub region: RegionId,
-    /// Who brings it.
+    /// Partner that provides it, if any.
     #[serde(default)]
     pub partner: Option<PartnerId>,
-    /// Whether it takes work.
+    /// Whether it accepts new work.
     pub state: ListedState,
-    /// The service that a plain instance belongs to.
+    /// Service that a plain instance belongs to.
     #[serde(default)]
     pub service: Option<String>,
     /// Models that an engine has loaded.
     #[serde(default)]
     pub models: Vec<ModelId>,
-    /// Role of an engine.
+    /// Role of an engine; `None` for other kinds.
     #[serde(default)]
     pub role: Option<EngineRole>,
-    /// Decode slots of an engine, or concurrent requests of a plain instance.
+    /// Number of decode slots of an engine, or of concurrent requests of a plain instance.
     #[serde(default)]
     pub slots_total: u32,
-    /// Whether an engine refuses orders with an old fencing number.
+    /// Whether an engine rejects orders with an outdated fencing number.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// Rate of an engine's transfer link.
+    /// Bandwidth of an engine's transfer link.
     #[serde(default)]
     pub link_bytes_per_s: BytesPerSecond,
 }
 
-/// What runs on a listed host.
+/// Kind of a listed host.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListedKind {
-    /// A daemon of this system.
+    /// Entry host that runs a daemon of this system.
     Entry,
-    /// A model engine.
+    /// Model engine.
     Engine,
-    /// A plain service instance.
+    /// Instance of a plain service.
     Plain,
 }
 
-/// What a read of the host list brought.
+/// Result of one read of the host list.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct HostListPage {
-    /// Version that the list has now.
+    /// Current version of the list.
     pub version: u64,
-    /// What changed since the version asked for.
+    /// Changes since the requested version.
     pub change: HostListChange,
 }
 
-/// A change of the host list.
+/// Changes of the host list.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum HostListChange {
-    /// Some entries changed, or none.
+    /// Incremental changes, possibly none.
     Some {
-        /// Entries that are new or different.
+        /// New or changed entries.
         set: Vec<ListedHost>,
-        /// Names that are no longer listed.
+        /// Names of removed entries.
         remove: Vec<BackendServerId>,
     },
-    /// The whole list.
-    Whole(Vec<ListedHost>),
+    /// Complete list.
+    Full(Vec<ListedHost>),
 }
 
-/// Why a call to the host list or the weight store failed.
+/// Reason why a call to the host list or the weight store failed.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, thiserror::Error)]
 pub enum PlatformFailure {
-    /// No connection.
-    #[error("not reachable")]
+    /// The service could not be reached.
+    #[error("service unreachable")]
     Unreachable,
-    /// No answer in time.
-    #[error("no answer in time")]
+    /// The service did not respond in time.
+    #[error("no response in time")]
     Timeout,
-    /// A refusal.
+    /// The service refused the call with this HTTP status.
     #[error("refused with status {0}")]
     Refused(u16),
-    /// An answer that does not fit the interface.
-    #[error("answer not understood")]
+    /// The response does not match the interface.
+    #[error("malformed response")]
     Malformed,
 }
 
-/// The lagging list of live and leaving hosts.
+/// List of live and leaving hosts, which lags behind the actual state.
 pub trait HostList: Debug + Send + Sync + 'static {
-    /// Returns what changed since `after`, waiting up to `wait_ms` for something; the whole list to a reader too
-    /// far behind.
+    /// Returns the changes since version `after`, waiting up to `wait_ms` for one. A reader that is too far behind gets
+    /// the complete list.
     fn read(&self, after: u64, wait_ms: Millis) -> BoxFuture<'_, Result<HostListPage, PlatformFailure>>;
 }
 
-/// A model in the weight store.
+/// Model in the weight store.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct StoredModel {
-    /// Its name.
+    /// Name of the model.
     pub model: ModelId,
-    /// Size of its weights.
+    /// Size of the weights.
     pub bytes: ByteCount,
 }
 
-/// What the weight store holds and how fast it serves.
+/// Contents and bandwidth of the weight store.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct WeightStoreInfo {
-    /// Rate over all readers together.
+    /// Total bandwidth over all readers.
     pub rate_bytes_per_s: BytesPerSecond,
-    /// The models.
+    /// Models in the store.
     pub models: Vec<StoredModel>,
 }
 
-/// The rate-limited weight store.
+/// Rate-limited store of model weights.
 pub trait WeightStore: Debug + Send + Sync + 'static {
-    /// Reads what the store holds.
+    /// Reads the contents and bandwidth of the store.
     fn info(&self) -> BoxFuture<'_, Result<WeightStoreInfo, PlatformFailure>>;
 }
--- a/crates/router/src/external/weight_store.rs
+++ b/crates/router/src/external/weight_store.rs
@@ -1,4 +1,4 @@
-//! The weight store by HTTP.
+//! HTTP client of the weight store.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,13 +12,13 @@
 use super::{PlatformFailure, StoredModel, WeightStore, WeightStoreInfo};
 use crate::backend::{BackendHttp, CallFailure, ConnectionReuse, read_body, uri};
 
-/// Planning can wait for a slow store, but not for one that has gone silent.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Response timeout: planning tolerates a slow store, but not one that stopped responding.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A list of some thousand models.
-const LIST_LIMIT_BYTES: usize = 1 << 20;
+/// Largest response; enough for several thousand models.
+const MAX_LIST_BYTES: usize = 1 << 20;
 
-/// [`WeightStore`] by HTTP. It is asked rarely, so each call opens its own connection.
+/// [`WeightStore`] over HTTP. Calls are rare, so each one opens its own connection.
 #[derive(Clone, Debug)]
 pub struct HttpWeightStore {
     http: BackendHttp,
@@ -26,13 +26,13 @@
 }
 
 #[derive(Deserialize)]
-struct Answer {
+struct InfoResponse {
     rate_bytes_per_s: BytesPerSecond,
     models: Vec<StoredModel>,
 }
 
 impl HttpWeightStore {
-    /// Makes a client of the store at `address`.
+    /// Creates a client for the weight store at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self { http: BackendHttp::new(), address }
     }
@@ -42,13 +42,13 @@
             .uri(uri(self.address, "/weights")?)
             .body(Full::default())
             .map_err(|_| CallFailure::Malformed)?;
-        let response = self.http.send(ConnectionReuse::Fresh, request, ANSWER_TIMEOUT).await?;
+        let response = self.http.send(ConnectionReuse::Fresh, request, RESPONSE_TIMEOUT).await?;
         if response.status() != StatusCode::OK {
             return Err(CallFailure::Malformed);
         }
-        let body = read_body(response.into_body(), LIST_LIMIT_BYTES, ANSWER_TIMEOUT).await?;
-        let answer: Answer = serde_json::from_slice(&body).map_err(|_| CallFailure::Malformed)?;
-        Ok(WeightStoreInfo { rate_bytes_per_s: answer.rate_bytes_per_s, models: answer.models })
+        let body = read_body(response.into_body(), MAX_LIST_BYTES, RESPONSE_TIMEOUT).await?;
+        let info: InfoResponse = serde_json::from_slice(&body).map_err(|_| CallFailure::Malformed)?;
+        Ok(WeightStoreInfo { rate_bytes_per_s: info.rate_bytes_per_s, models: info.models })
     }
 }
 
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,7 +1,7 @@
 //! Router for separate prefill and decode pools.
 //!
-//! This crate carries out what `hibiscusvale-core` decides: the edges towards callers, backend servers, the
-//! platform, operators and the other daemons, and the services around the decision logic.
+//! `hibiscusvale-core` makes the decisions; this crate does the I/O: the interfaces to callers, backend servers,
+//! the platform, operators and other daemons, and the services that run the decision logic.
 
 pub mod backend;
 pub mod callers;
@@ -14,7 +14,6 @@
 pub mod directory;
 pub mod dispatch;
 pub mod external;
-pub mod figures;
 pub mod inbound;
 pub mod kernel;
 pub mod leases;
@@ -24,6 +23,7 @@
 pub mod membership;
 pub mod meter;
 pub mod metrics;
+pub mod metrics_reporter;
 pub mod operators;
 pub mod peer;
 pub mod relay;
--- a/crates/router/src/logging.rs
+++ b/crates/router/src/logging.rs
@@ -1,7 +1,7 @@
-//! Logs as JSON lines, by spdlog-rs.
+//! Structured logging as JSON lines through spdlog-rs.
 //!
-//! What matters has a method with typed arguments, so that a line cannot carry a token, a key or a body by
-//! accident, and the same event has the same fields everywhere. Each line is one JSON object: `level`,
+//! Each event has a method with typed arguments, so a line cannot contain a token, a key or a body by accident, and an
+//! event has the same fields wherever it is logged. Each line is one JSON object: `level`,
 //! `timestamp` (ms since 1970), `payload` (the event) and `kv` (its fields).
 
 mod background;
@@ -23,100 +23,100 @@
 
 use crate::clock;
 use crate::logging::background::BackgroundWriter;
-use crate::logging::budget::{Line, LineBudget};
+use crate::logging::budget::{LineBudget, LineDecision};
 use crate::metrics::Label;
 use crate::servers::Servers;
 use crate::settings::LogLevel;
 
-/// Lines are kept for this long before they are written, so that a line per request costs no system call each.
+/// Interval between flushes of buffered lines. Buffering avoids a system call per request.
 const FLUSH_PERIOD: Duration = Duration::from_millis(250);
 
-/// Bytes that wait at most before they are written.
+/// Capacity of the line buffer, which is written out when full.
 const BUFFER_BYTES: usize = 64 << 10;
 
-/// Logging could not be set up.
+/// Failure to set up logging.
 #[derive(Debug, thiserror::Error)]
 pub enum LoggingError {
-    /// The library refused.
+    /// The logging library returned an error.
     #[error("could not set up logging")]
     Library(#[from] spdlog::Error),
-    /// The system gave no thread to write in.
-    #[error("could not start the thread that writes the log")]
+    /// The writer thread could not be started.
+    #[error("could not start the log writer thread")]
     Thread(#[from] io::Error),
 }
 
-/// The daemon's log.
+/// Logger of the daemon.
 #[derive(Clone)]
 pub struct Log {
     logger: Arc<Logger>,
     lines: Arc<LineBudget>,
 }
 
-/// A finished request, as the log shows it.
+/// Log fields of a finished request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestLine<'a, Outcome> {
-    /// Its id.
+    /// Id of the request.
     pub request_id: RequestId,
-    /// Whose it is; absent when no token matched.
+    /// Partner that sent it; `None` when no token matched.
     pub partner: Option<&'a PartnerId>,
-    /// Its class; absent when none was understood.
+    /// Class of the request; `None` when it could not be determined.
     pub class: Option<&'a ClassName>,
-    /// How it ended.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// Time from its arrival to its end.
+    /// Time from arrival to completion.
     pub took_ms: Millis,
-    /// Tries at backend servers.
+    /// Number of attempts at backend servers.
     pub attempts: u32,
 }
 
-/// A relayed request that has ended, as the log shows it.
+/// Log fields of a finished relayed request.
 #[derive(Clone, Copy, Debug)]
 pub struct RelayLine<'a> {
-    /// The relay's name for it.
+    /// Id assigned by the relay.
     pub request_id: RequestId,
-    /// Its caller's name for it.
+    /// Id assigned by the caller.
     pub call: &'a str,
-    /// Its route.
+    /// Name of the route.
     pub route: &'a str,
-    /// The organisation that sent it, where callers need a key.
+    /// Organisation that sent it; `None` where callers need no key.
     pub partner: Option<&'a PartnerId>,
-    /// Version of the routes.
+    /// Version of the routing table.
     pub version: u64,
-    /// How it ended.
+    /// Outcome of the request.
     pub outcome: &'a str,
-    /// What was tried.
+    /// Steps taken to serve it.
     pub steps: &'a str,
-    /// By which it is recognised when it comes again.
+    /// Fingerprint by which repeated submissions are recognised.
     pub fingerprint: Fingerprint,
-    /// Tokens of its prompt, of the longest answer, of the likely one, and events that its caller got.
+    /// Prompt tokens, maximum output tokens, expected output tokens, and events sent to the caller.
     pub generation: Option<[Tokens; 4]>,
-    /// How long its caller says that it will wait; zero where it does not say.
+    /// Wait time stated by the caller; zero when not stated.
     pub stated_wait_ms: Millis,
-    /// How long its caller is taken to have waited before, with earlier tries.
+    /// Estimated time that the caller has already waited, earlier attempts included.
     pub waited_ms: Millis,
-    /// Time from its arrival to the first event of a stream.
+    /// Milliseconds from arrival to the first event of the stream; `None` when there was none.
     pub first_event_ms: Option<u64>,
-    /// Longest time between two events of a stream.
+    /// Longest time between two events of the stream, in milliseconds.
     pub longest_pause_ms: u64,
-    /// Time from its arrival to its end.
+    /// Time from arrival to completion.
     pub took_ms: Millis,
 }
 
 impl Log {
-    /// A log that writes to standard output.
+    /// Creates a log that writes to standard output from a background thread.
     ///
     /// # Errors
     ///
-    /// [`LoggingError`] when the library refuses.
+    /// [`LoggingError`] when the logger or its thread cannot be set up.
     pub fn stdout(level: LogLevel) -> Result<Self, LoggingError> {
         Self::to_writer(level, BackgroundWriter::start(io::stdout())?)
     }
 
-    /// A log that writes to `target`.
+    /// Creates a log that writes to `target`.
     ///
     /// # Errors
     ///
-    /// [`LoggingError`] when the library refuses.
+    /// [`LoggingError`] when the logger cannot be set up.
     pub fn to_writer<Target>(level: LogLevel, target: Target) -> Result<Self, LoggingError>
     where
         Target: Write + Send + 'static,
@@ -133,27 +133,27 @@
         Ok(Self { logger, lines })
     }
 
-    /// Writes what waits. Called before the process ends.
+    /// Flushes buffered lines. Call it before the process exits.
     pub fn flush(&self) {
         self.logger.flush();
     }
 
-    /// A request ended with an answer or an unknown outcome.
+    /// Logs a request that ended with a response or an unknown outcome.
     pub fn request_finished<Outcome>(&self, line: RequestLine<'_, Outcome>)
     where
         Outcome: Label,
     {
         spdlog::info!(logger: self.logger, "request finished", kv: {
             request_id: = line.request_id,
-            partner = text(line.partner.map(PartnerId::as_str)),
-            class = text(line.class.map(ClassName::as_str)),
+            partner = or_empty(line.partner.map(PartnerId::as_str)),
+            class = or_empty(line.class.map(ClassName::as_str)),
             outcome = line.outcome.label(),
             took_ms = line.took_ms.0,
             attempts = line.attempts,
         });
     }
 
-    /// A request was refused.
+    /// Logs a refused request.
     pub fn request_refused<Outcome, Reason>(&self, line: RequestLine<'_, Outcome>, reason: Reason)
     where
         Outcome: Label,
@@ -161,8 +161,8 @@
     {
         spdlog::info!(logger: self.logger, "request refused", kv: {
             request_id: = line.request_id,
-            partner = text(line.partner.map(PartnerId::as_str)),
-            class = text(line.class.map(ClassName::as_str)),
+            partner = or_empty(line.partner.map(PartnerId::as_str)),
+            class = or_empty(line.class.map(ClassName::as_str)),
             outcome = line.outcome.label(),
             reason = reason.label(),
             took_ms = line.took_ms.0,
@@ -170,16 +170,16 @@
         });
     }
 
-    /// A relayed request ended.
-    pub fn relayed(&self, line: RelayLine<'_>) {
-        if !self.takes_request_line() {
+    /// Logs a finished relayed request.
+    pub fn request_relayed(&self, line: RelayLine<'_>) {
+        if !self.admit_request_line() {
             return;
         }
         spdlog::info!(logger: self.logger, "request relayed", kv: {
             request_id: = line.request_id,
             call = line.call,
             route = line.route,
-            partner = text(line.partner.map(PartnerId::as_str)),
+            partner = or_empty(line.partner.map(PartnerId::as_str)),
             version = line.version,
             outcome = line.outcome,
             steps = line.steps,
@@ -193,8 +193,8 @@
         });
     }
 
-    /// A request was refused for its organisation's quota.
-    pub fn refused_by_quota<Reason>(
+    /// Logs a request that was refused because its organisation exceeded its quota.
+    pub fn request_refused_by_quota<Reason>(
         &self,
         call: &dyn fmt::Display,
         partner: &PartnerId,
@@ -203,7 +203,7 @@
     ) where
         Reason: Label,
     {
-        if self.takes_request_line() {
+        if self.admit_request_line() {
             spdlog::info!(logger: self.logger, "request refused by quota", kv: {
                 call: = call,
                 partner: = partner,
@@ -213,7 +213,7 @@
         }
     }
 
-    /// A server crashed while it had a request.
+    /// Logs a server crash while a request was in flight.
     pub fn server_crashed(
         &self,
         server: &BackendServerId,
@@ -221,7 +221,7 @@
         fingerprint: Fingerprint,
         in_flight_ms: Millis,
     ) {
-        if self.takes_request_line() {
+        if self.admit_request_line() {
             spdlog::info!(logger: self.logger, "server crashed", kv: {
                 server: = server,
                 request_id: = request_id,
@@ -231,14 +231,14 @@
         }
     }
 
-    /// A server stated another limit than before, or none any more; `source` is who said so.
+    /// Logs a changed or removed limit that a server announced; `source` tells where it was learned from.
     pub fn server_limited(
         &self,
         server: &BackendServerId,
         rate: Option<CreditPerSecond>,
         source: &'static str,
     ) {
-        if self.takes_request_line() {
+        if self.admit_request_line() {
             spdlog::info!(logger: self.logger, "server limit", kv: {
                 server: = server,
                 is_limited = rate.is_some(),
@@ -248,7 +248,7 @@
         }
     }
 
-    /// A request was put in quarantine or let out of it.
+    /// Logs that a fingerprint entered or left quarantine.
     pub fn quarantine_changed(&self, verdict: &Verdict) {
         spdlog::info!(logger: self.logger, "quarantine", kv: {
             fingerprint: = verdict.fingerprint,
@@ -257,59 +257,64 @@
         });
     }
 
-    /// A request was refused for it is in quarantine.
-    pub fn refused_in_quarantine(&self, call: &dyn fmt::Display, fingerprint: Fingerprint, left: Millis) {
-        if self.takes_request_line() {
+    /// Logs a request that was refused because its fingerprint is in quarantine for another `remaining` milliseconds.
+    pub fn request_refused_in_quarantine(
+        &self,
+        call: &dyn fmt::Display,
+        fingerprint: Fingerprint,
+        remaining: Millis,
+    ) {
+        if self.admit_request_line() {
             spdlog::info!(logger: self.logger, "request refused in quarantine", kv: {
                 call: = call,
                 fingerprint: = fingerprint,
-                left_ms = left.0,
+                left_ms = remaining.0,
             });
         }
     }
 
-    /// Whether one more line of a request may be written. Notes how many were left out before.
-    fn takes_request_line(&self) -> bool {
+    /// Whether another request line may be written. Logs how many were dropped since the last one.
+    fn admit_request_line(&self) -> bool {
         match self.lines.take(clock::now()) {
-            Line::Write { left_out: 0 } => true,
-            Line::Write { left_out } => {
-                self.changed("request lines left out", &left_out);
+            LineDecision::Write { left_out: 0 } => true,
+            LineDecision::Write { left_out } => {
+                self.state_changed("request lines left out", &left_out);
                 true
             }
-            Line::LeaveOut => false,
+            LineDecision::Drop => false,
         }
     }
 
-    /// A table of routes came into force.
-    pub fn table_in_force(&self, version: u64) {
+    /// Logs that a routing table came into force.
+    pub fn routes_in_force(&self, version: u64) {
         spdlog::info!(logger: self.logger, "routes in force", kv: { version = version });
     }
 
-    /// Writes what changed of the servers: those that came, that changed (as leaving, or in their role), that are gone.
+    /// Logs servers that were added, changed (such as their role, or leaving) or removed.
     pub fn servers_changed(&self, before: &Servers, after: &Servers) {
         let names = |mut ids: Vec<&str>| {
             ids.sort_unstable();
             ids.join(" ")
         };
-        let came = after.keys().filter(|id| !before.contains_key(id)).map(BackendServerId::as_str);
-        let gone = after.gone_since(before).map(BackendServerId::as_str);
+        let added = after.keys().filter(|id| !before.contains_key(id)).map(BackendServerId::as_str);
+        let removed = after.gone_since(before).map(BackendServerId::as_str);
         let changed = after.changed_since(before).filter(|now| before.contains_key(&now.id));
         let changed = changed.map(|now| format!("{}:{}", now.id, now.state_label()));
         let changed: Vec<String> = changed.collect();
         spdlog::info!(logger: self.logger, "servers changed", kv: {
-            came = names(came.collect()),
+            came = names(added.collect()),
             changed = names(changed.iter().map(String::as_str).collect()),
-            gone = names(gone.collect()),
+            gone = names(removed.collect()),
         });
     }
 
-    /// Something around the daemon or in its life changed: start, stop, a dependency lost or regained.
-    pub fn changed(&self, what: &'static str, detail: &dyn fmt::Display) {
+    /// Logs a state change of the daemon or its environment, such as start, stop, or a dependency lost or regained.
+    pub fn state_changed(&self, what: &'static str, detail: &dyn fmt::Display) {
         spdlog::info!(logger: self.logger, "changed", kv: { what = what, detail: = detail });
     }
 
-    /// An engine was ordered to change its role.
-    pub fn ordered(
+    /// Logs an order to an engine to change its role, and the engine's response.
+    pub fn engine_ordered(
         &self,
         server: &BackendServerId,
         role: &'static str,
@@ -324,7 +329,7 @@
         });
     }
 
-    /// A further try of a request begins.
+    /// Logs the start of a retry.
     pub fn request_retried<Reason>(&self, request_id: RequestId, reason: Reason)
     where
         Reason: Label,
@@ -335,21 +340,21 @@
         });
     }
 
-    /// Configuration up to `version` came into force here.
+    /// Logs that the configuration up to `version` came into force on this daemon.
     pub fn config_in_force(&self, version: Offset) {
         spdlog::info!(logger: self.logger, "configuration in force", kv: { version = version.0 });
     }
 
-    /// A configuration record changed nothing.
+    /// Logs a rejected configuration record.
     pub fn config_rejected(&self, offset: Offset, partner: Option<&PartnerId>, reason: &dyn fmt::Display) {
         spdlog::warn!(logger: self.logger, "configuration record rejected", kv: {
             offset = offset.0,
-            partner = text(partner.map(PartnerId::as_str)),
+            partner = or_empty(partner.map(PartnerId::as_str)),
             reason: = reason,
         });
     }
 
-    /// Another daemon was found, lost or replaced.
+    /// Logs that another daemon was discovered, lost or replaced.
     pub fn member_changed<State>(&self, host: &HostId, state: State)
     where
         State: Label,
@@ -360,7 +365,7 @@
         });
     }
 
-    /// Something went wrong that an operator may have to look into.
+    /// Logs a fault that may need an operator's attention.
     pub fn fault(&self, what: &'static str, error: &dyn fmt::Display) {
         spdlog::warn!(logger: self.logger, "fault", kv: { what = what, error: = error });
     }
@@ -372,7 +377,7 @@
     }
 }
 
-fn text(value: Option<&str>) -> &str {
+fn or_empty(value: Option<&str>) -> &str {
     value.unwrap_or("")
 }
 
--- a/crates/router/src/logging/background.rs
+++ b/crates/router/src/logging/background.rs
@@ -1,7 +1,8 @@
-//! Writes log lines in a thread of their own.
+//! Writes log lines from a background thread.
 //!
-//! Standard output is a pipe that somebody reads. When that reader is slow or stands still the pipe fills up, and a write
-//! to it waits: requests and control would stand still with it. So what does not fit is left out, counted, and said.
+//! Standard output is usually a pipe. When its reader stalls, the pipe fills up and writes block, which would stall
+//! requests and control. Lines that do not fit into the queue are therefore dropped, and the number of dropped bytes is
+//! logged.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -10,40 +11,42 @@
 use std::thread;
 use std::time::Duration;
 
-/// Blocks of lines that wait to be written; with the buffer in front of them at most some megabytes.
-const BLOCKS_MAX: usize = 32;
+/// Capacity of the queue in blocks of lines. Together with the buffer before it, it holds a few megabytes at most.
+const QUEUE_CAPACITY: usize = 32;
 
-/// How long a flush waits for the thread: the process is about to end and must not hang on a reader that stands still.
-const FLUSH_LIMIT: Duration = Duration::from_millis(200);
+/// Longest time that a flush waits for the writer thread, so that a stalled reader cannot block process exit.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 enum Job {
     Write(Vec<u8>),
-    /// Answered when everything before it was written.
+    /// Acknowledged when all preceding blocks have been written.
     Flush(mpsc::Sender<()>),
 }
 
-/// The writing end: never waits for the reader, but for a moment in `flush`.
+/// Writer that never blocks on its target, except for up to `FLUSH_TIMEOUT` in `flush`.
 #[derive(Debug)]
 pub struct BackgroundWriter {
     jobs: SyncSender<Job>,
-    lost_bytes: Arc<AtomicU64>,
+    dropped_bytes: Arc<AtomicU64>,
 }
 
 impl BackgroundWriter {
-    /// Starts the thread that writes to `target`.
+    /// Starts the background thread that writes to `target`.
     ///
     /// # Errors
     ///
-    /// The system's error when it gives no thread.
+    /// The I/O error when the thread cannot be started.
     pub fn start<Target>(target: Target) -> io::Result<Self>
     where
         Target: Write + Send + 'static,
     {
-        let (jobs, arrivals) = mpsc::sync_channel(BLOCKS_MAX);
-        let lost_bytes = Arc::new(AtomicU64::new(0));
-        let lost = Arc::clone(&lost_bytes);
-        thread::Builder::new().name("log".to_owned()).spawn(move || write_all(target, &arrivals, &lost))?;
-        Ok(Self { jobs, lost_bytes })
+        let (jobs, queue) = mpsc::sync_channel(QUEUE_CAPACITY);
+        let dropped_bytes = Arc::new(AtomicU64::new(0));
+        let thread_dropped_bytes = Arc::clone(&dropped_bytes);
+        thread::Builder::new()
+            .name("log".to_owned())
+            .spawn(move || write_all(target, &queue, &thread_dropped_bytes))?;
+        Ok(Self { jobs, dropped_bytes })
     }
 }
 
@@ -52,34 +55,34 @@
         match self.jobs.try_send(Job::Write(buf.to_vec())) {
             Ok(()) => {}
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
-                self.lost_bytes.fetch_add(buf.len() as u64, Ordering::Relaxed);
+                self.dropped_bytes.fetch_add(buf.len() as u64, Ordering::Relaxed);
             }
         }
         Ok(buf.len())
     }
 
     fn flush(&mut self) -> io::Result<()> {
-        let (done, wait) = mpsc::channel();
+        let (done, acknowledged) = mpsc::channel();
         if self.jobs.try_send(Job::Flush(done)).is_ok() {
-            // Not written in time: the reader stands still, and nobody may wait for it.
-            let _ = wait.recv_timeout(FLUSH_LIMIT);
+            // A timeout means that the reader is stalled; callers must not block on it.
+            let _ = acknowledged.recv_timeout(FLUSH_TIMEOUT);
         }
         Ok(())
     }
 }
 
-fn write_all<Target>(mut target: Target, arrivals: &Receiver<Job>, lost_bytes: &AtomicU64)
+fn write_all<Target>(mut target: Target, queue: &Receiver<Job>, dropped_bytes: &AtomicU64)
 where
     Target: Write,
 {
-    while let Ok(job) = arrivals.recv() {
+    while let Ok(job) = queue.recv() {
         match job {
             Job::Write(bytes) => {
-                // Whoever reads has gone: there is nobody left to tell.
+                // The reader is gone, so there is nowhere left to report to.
                 if target.write_all(&bytes).is_err() {
                     return;
                 }
-                let lost = lost_bytes.swap(0, Ordering::Relaxed);
+                let lost = dropped_bytes.swap(0, Ordering::Relaxed);
                 if lost > 0 {
                     let _ = writeln!(
                         target,
--- a/crates/router/src/logging/budget.rs
+++ b/crates/router/src/logging/budget.rs
@@ -1,30 +1,30 @@
-//! How many lines requests may write.
+//! Rate limit for log lines of requests.
 //!
-//! One line for each request is what explains a failure afterwards, and in a storm of requests it would take the
-//! processor from serving them. Beyond the bound lines are left out, counted, and their number is said.
+//! One line per request helps to explain failures afterwards, but under heavy load logging would take CPU time from
+//! serving requests. Lines above the limit are dropped, and their number is logged.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use hibiscusvale_core::units::MonoTime;
 
-/// Lines in a second: fifteen times the load of today on one daemon, and one in a hundred of its processor.
+/// Maximum lines per second: fifteen times the present load of one daemon, at about one hundredth of its CPU time.
 const LINES_PER_S: u64 = 200;
 
 const MICROS_PER_S: u64 = 1_000_000;
 
-/// What becomes of a line.
+/// Whether a line is written.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Line {
-    /// It is written, and so many before it were not.
+pub enum LineDecision {
+    /// The line is written.
     Write {
-        /// Lines that were left out since the last one that was written.
+        /// Number of lines dropped since the last written one.
         left_out: u64,
     },
-    /// It is left out.
-    LeaveOut,
+    /// The line is dropped.
+    Drop,
 }
 
-/// Counts lines by the second.
+/// Counts lines per second.
 #[derive(Debug, Default)]
 pub struct LineBudget {
     second: AtomicU64,
@@ -33,17 +33,17 @@
 }
 
 impl LineBudget {
-    /// Asks for one line. Two threads may see a new second at once; a few lines more do no harm.
-    pub fn take(&self, now_us: MonoTime) -> Line {
+    /// Requests permission for one line. Two threads may both detect a new second, which admits a few extra lines.
+    pub fn take(&self, now_us: MonoTime) -> LineDecision {
         let second = now_us.0 / MICROS_PER_S;
         if self.second.swap(second, Ordering::Relaxed) != second {
             self.written.store(0, Ordering::Relaxed);
         }
         if self.written.fetch_add(1, Ordering::Relaxed) >= LINES_PER_S {
             self.left_out.fetch_add(1, Ordering::Relaxed);
-            return Line::LeaveOut;
+            return LineDecision::Drop;
         }
-        Line::Write { left_out: self.left_out.swap(0, Ordering::Relaxed) }
+        LineDecision::Write { left_out: self.left_out.swap(0, Ordering::Relaxed) }
     }
 }
 
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -1,12 +1,12 @@
-//! Counters, histograms and gauges, by opentelemetry, as text for scraping.
+//! Counters, histograms and gauges, exported through OpenTelemetry in the Prometheus text format.
 //!
-//! Traffic threads count into atomics that they hold through a [`ClassMetrics`] handle; opentelemetry reads
-//! them when somebody scrapes. So a request costs a few atomic additions and no look-up by attributes, and
-//! `hibiscusvale outcomes` and the scrape show the same numbers.
+//! Traffic threads increment atomics through a [`ClassMetrics`] handle; OpenTelemetry reads them on each scrape. A
+//! request therefore costs a few atomic additions and no attribute lookup, and `hibiscusvale outcomes` reports the
+//! same values as the scrape.
 
 mod class;
 mod gauge;
-mod tally;
+mod labeled_counters;
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -22,28 +22,28 @@
 pub use crate::metrics::class::{ClassMetrics, ClassTotals};
 pub use crate::metrics::gauge::Gauge;
 use crate::metrics::gauge::Gauges;
-pub use crate::metrics::tally::{Label, LabelCount, Tally};
+pub use crate::metrics::labeled_counters::{Label, LabelCount, LabeledCounters};
 
-/// Pairs of partner and class that get series of their own: 280 organisations with 14 classes each. Later ones
-/// are counted together, so that no flood of names can take the daemon's memory.
+/// Maximum number of partner and class pairs with their own series: 280 organisations with 14 classes each. Further
+/// pairs share one series, which bounds memory when a partner creates many names.
 pub const MAX_CLASS_SERIES: usize = 4_096;
 
-/// Name under which pairs beyond [`MAX_CLASS_SERIES`] are counted.
+/// Partner and class name of the series shared by pairs beyond [`MAX_CLASS_SERIES`].
 const OVERFLOW_NAME: &str = "other";
 
-/// Attribute sets per instrument: every pair with sixteen labels of a closed set, more than any class meets. The
-/// library takes memory for the bound at once, for each instrument; 2^20 took 39 MB of a daemon's 32.
+/// Maximum number of attribute sets per instrument: sixteen labels for every pair, more than any class uses. The
+/// library allocates for the limit up front for each instrument: 2^20 took 39 MB, above the daemon's budget of 32 MB.
 const CARDINALITY_LIMIT: usize = 1 << 16;
 
-/// Metrics could not be set up.
+/// Failure to set up metrics.
 #[derive(Debug, thiserror::Error)]
 pub enum MetricsError {
-    /// The exporter refused its registry.
+    /// The exporter could not be built.
     #[error("could not set up the metrics exporter")]
     Exporter(#[from] opentelemetry_sdk::error::OTelSdkError),
 }
 
-/// All metrics of a daemon.
+/// Metrics of a daemon.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -52,17 +52,17 @@
     counts: Arc<Counts>,
 }
 
-/// What is counted, readable without opentelemetry.
+/// Counter and gauge values, readable without OpenTelemetry.
 #[derive(Debug, Default)]
 struct Counts {
     classes: RwLock<HashMap<(PartnerId, ClassName), Arc<ClassMetrics>>>,
     gauges: Gauges,
-    peer_drops: Tally,
-    events: Tally,
+    peer_drops: LabeledCounters,
+    events: LabeledCounters,
 }
 
 impl Metrics {
-    /// Sets up the instruments of one daemon.
+    /// Creates the instruments of a daemon.
     ///
     /// # Errors
     ///
@@ -88,16 +88,16 @@
         Ok(Self { registry, histograms: Histograms::new(&meter), provider, counts })
     }
 
-    /// Where instruments of other parts of the daemon are made.
+    /// Meter for instruments of other parts of the daemon.
     pub fn meter(&self) -> Meter {
         self.provider.meter("hibiscusvale")
     }
 
-    /// The counters of one class. Callers keep the handle; finding it takes a lock.
+    /// Returns the metrics of one class. Keep the handle: each lookup takes a lock.
     pub fn class(&self, partner: &PartnerId, class: &ClassName) -> Arc<ClassMetrics> {
         let key = (partner.clone(), class.clone());
-        if let Some(found) = self.counts.classes.read().get(&key) {
-            return Arc::clone(found);
+        if let Some(existing) = self.counts.classes.read().get(&key) {
+            return Arc::clone(existing);
         }
         let mut classes = self.counts.classes.write();
         let key = if classes.len() < MAX_CLASS_SERIES { key } else { overflow_key(key) };
@@ -107,24 +107,24 @@
         Arc::clone(entry)
     }
 
-    /// Counts peer messages that were dropped.
-    pub fn peer_dropped<Cause>(&self, cause: Cause, messages: u64)
+    /// Counts dropped peer messages.
+    pub fn count_peer_drops<Cause>(&self, cause: Cause, messages: u64)
     where
         Cause: Label,
     {
         self.counts.peer_drops.add(cause, messages);
     }
 
-    /// Counts something that happened to the daemon rather than to a class of requests.
-    pub fn event<Event>(&self, event: Event)
+    /// Counts one event of the daemon that is not tied to a class of requests.
+    pub fn count_event<Event>(&self, event: Event)
     where
         Event: Label,
     {
-        self.events(event, 1);
+        self.count_events(event, 1);
     }
 
-    /// Counts what happened `times` times to the daemon.
-    pub fn events<Event>(&self, event: Event, times: u64)
+    /// Counts `times` events of the daemon that are not tied to a class of requests.
+    pub fn count_events<Event>(&self, event: Event, times: u64)
     where
         Event: Label,
     {
@@ -136,24 +136,24 @@
         self.counts.gauges.set(gauge, value);
     }
 
-    /// The present value of a gauge.
+    /// Returns the current value of a gauge.
     pub fn gauge(&self, gauge: Gauge) -> u64 {
         self.counts.gauges.get(gauge)
     }
 
-    /// Totals per partner and class, in their order.
+    /// Totals per class, sorted by partner and class.
     pub fn totals(&self) -> Vec<ClassTotals> {
         let mut totals: Vec<_> = self.counts.classes.read().values().map(|class| class.totals()).collect();
         totals.sort_by(|a, b| (&a.partner, &a.class).cmp(&(&b.partner, &b.class)));
         totals
     }
 
-    /// All metrics as text for scraping.
+    /// Renders all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         let mut text = Vec::new();
         match TextEncoder::new().encode(&self.registry.gather(), &mut text) {
             Ok(()) => String::from_utf8_lossy(&text).into_owned(),
-            // An empty answer to a scrape is noticed by whoever scrapes; there is nothing else to say here.
+            // The scraper sees an empty response as a failed scrape.
             Err(_) => String::new(),
         }
     }
@@ -166,26 +166,26 @@
     }
 }
 
-/// Reads one sum of a class.
-type Sum = fn(&ClassTotals) -> u64;
+/// Selects one total of a class.
+type TotalSelector = fn(&ClassTotals) -> u64;
 
-/// Finds one tally of the daemon.
-type Source = fn(&Counts) -> &Tally;
+/// Selects one set of daemon counters.
+type CountersSelector = fn(&Counts) -> &LabeledCounters;
 
-/// Registers one counter that is split by a label of a closed set.
+/// Registers an observable counter per class that is split by `label`.
 fn observe_labels(
     meter: &Meter,
     counts: &Arc<Counts>,
     name: &'static str,
     label: &'static str,
-    tally: fn(&ClassMetrics) -> &Tally,
+    select: fn(&ClassMetrics) -> &LabeledCounters,
 ) {
     let counts = Arc::clone(counts);
     meter
         .u64_observable_counter(name)
         .with_callback(move |observer| {
             for class in counts.classes.read().values() {
-                for LabelCount { label: value, count } in tally(class).counts() {
+                for LabelCount { label: value, count } in select(class).counts() {
                     let [partner, class] = class.attributes().clone();
                     observer.observe(count, &[partner, class, KeyValue::new(label, value)]);
                 }
@@ -198,18 +198,20 @@
     observe_labels(meter, counts, "hibiscusvale_requests", "outcome", |class| &class.outcomes);
     observe_labels(meter, counts, "hibiscusvale_refusals", "reason", |class| &class.refusals);
     observe_labels(meter, counts, "hibiscusvale_retries", "reason", |class| &class.retries);
-    observe_labels(meter, counts, "hibiscusvale_wasted_prefill_tokens", "cause", |class| &class.wasted);
-    let sums: [(&'static str, Sum); 2] = [
+    observe_labels(meter, counts, "hibiscusvale_wasted_prefill_tokens", "cause", |class| {
+        &class.wasted_prefill_tokens
+    });
+    let totals: [(&'static str, TotalSelector); 2] = [
         ("hibiscusvale_goodput_requests", |totals| totals.goodput),
         ("hibiscusvale_prefill_tokens", |totals| totals.prefill_tokens.0),
     ];
-    for (name, sum) in sums {
+    for (name, total) in totals {
         let counts = Arc::clone(counts);
         meter
             .u64_observable_counter(name)
             .with_callback(move |observer| {
                 for class in counts.classes.read().values() {
-                    observer.observe(sum(&class.totals()), class.attributes());
+                    observer.observe(total(&class.totals()), class.attributes());
                 }
             })
             .build();
@@ -217,16 +219,16 @@
 }
 
 fn observe_daemon(meter: &Meter, counts: &Arc<Counts>) {
-    let tallies: [(&'static str, &'static str, Source); 2] = [
+    let counters: [(&'static str, &'static str, CountersSelector); 2] = [
         ("hibiscusvale_peer_messages_dropped", "cause", |counts| &counts.peer_drops),
         ("hibiscusvale_events", "event", |counts| &counts.events),
     ];
-    for (name, label, tally) in tallies {
+    for (name, label, select) in counters {
         let counts = Arc::clone(counts);
         meter
             .u64_observable_counter(name)
             .with_callback(move |observer| {
-                for LabelCount { label: value, count } in tally(&counts).counts() {
+                for LabelCount { label: value, count } in select(&counts).counts() {
                     observer.observe(count, &[KeyValue::new(label, value)]);
                 }
             })
--- a/crates/router/src/metrics/class.rs
+++ b/crates/router/src/metrics/class.rs
@@ -1,4 +1,4 @@
-//! What is counted for one class of one partner.
+//! Metrics of one class of one partner.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -8,22 +8,22 @@
 use opentelemetry::metrics::{Histogram, Meter};
 use serde::Serialize;
 
-use crate::metrics::tally::{Label, LabelCount, Tally};
+use crate::metrics::labeled_counters::{Label, LabelCount, LabeledCounters};
 
 const MICROS_PER_MILLI: f64 = 1_000.0;
 
-/// Bounds in ms around first-token targets from a tight 0.1 s to summaries that wait minutes.
+/// Bucket bounds in ms. They cover first-token targets from 0.1 s to summaries that may wait for minutes.
 const FIRST_TOKEN_BOUNDS_MS: [f64; 14] = [
     10.0, 25.0, 50.0, 100.0, 200.0, 400.0, 800.0, 1_600.0, 3_200.0, 6_400.0, 12_800.0, 25_600.0, 60_000.0,
     120_000.0,
 ];
 
-/// Bounds in ms around the 31 ms between tokens that the system is made for.
+/// Bucket bounds in ms, densest around the system's design target of 31 ms between tokens.
 const PER_TOKEN_BOUNDS_MS: [f64; 12] =
     [2.0, 5.0, 10.0, 15.0, 20.0, 25.0, 31.0, 40.0, 60.0, 100.0, 250.0, 1_000.0];
 
-/// Histograms of latencies. They are split by partner, not by class: 15 buckets for each of thousands of
-/// classes would make a scrape of megabytes.
+/// Latency histograms. They are split by partner and not by class: 15 buckets for each of thousands of classes would
+/// make each scrape several megabytes.
 #[derive(Clone, Debug)]
 pub(super) struct Histograms {
     first_token_ms: Histogram<f64>,
@@ -45,27 +45,27 @@
     }
 }
 
-/// Counters of one class of one partner on this daemon.
+/// Metrics of one class of one partner on this daemon.
 #[derive(Debug)]
 pub struct ClassMetrics {
     partner: PartnerId,
     class: ClassName,
     attributes: [KeyValue; 2],
     histograms: Histograms,
-    pub(super) outcomes: Tally,
-    pub(super) refusals: Tally,
-    pub(super) retries: Tally,
-    pub(super) wasted: Tally,
+    pub(super) outcomes: LabeledCounters,
+    pub(super) refusals: LabeledCounters,
+    pub(super) retries: LabeledCounters,
+    pub(super) wasted_prefill_tokens: LabeledCounters,
     goodput: AtomicU64,
     prefill_tokens: AtomicU64,
 }
 
-/// A class's counters at one moment.
+/// Snapshot of the counters of a class.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct ClassTotals {
-    /// Whose class.
+    /// Partner that the class belongs to.
     pub partner: PartnerId,
-    /// The class.
+    /// Name of the class.
     pub class: ClassName,
     /// Finished requests by outcome.
     pub outcomes: Vec<LabelCount>,
@@ -73,11 +73,11 @@
     pub goodput: u64,
     /// Refused requests by reason.
     pub refusals: Vec<LabelCount>,
-    /// Further tries by reason.
+    /// Retries by reason.
     pub retries: Vec<LabelCount>,
-    /// Prompt tokens that were prefilled.
+    /// Number of prefilled prompt tokens.
     pub prefill_tokens: Tokens,
-    /// Prefilled tokens that were thrown away or done again, by cause.
+    /// Prefilled tokens that were discarded or recomputed, by cause.
     pub wasted_prefill_tokens: Vec<LabelCount>,
 }
 
@@ -91,10 +91,10 @@
                 KeyValue::new("class", class.to_string()),
             ],
             histograms: histograms.clone(),
-            outcomes: Tally::default(),
-            refusals: Tally::default(),
-            retries: Tally::default(),
-            wasted: Tally::default(),
+            outcomes: LabeledCounters::default(),
+            refusals: LabeledCounters::default(),
+            retries: LabeledCounters::default(),
+            wasted_prefill_tokens: LabeledCounters::default(),
             goodput: AtomicU64::new(0),
             prefill_tokens: AtomicU64::new(0),
         }
@@ -105,7 +105,7 @@
     }
 
     /// Counts a finished request.
-    pub fn finished<Outcome>(&self, outcome: Outcome)
+    pub fn record_outcome<Outcome>(&self, outcome: Outcome)
     where
         Outcome: Label,
     {
@@ -113,15 +113,15 @@
     }
 
     /// Counts a refused request.
-    pub fn refused<Reason>(&self, reason: Reason)
+    pub fn record_refusal<Reason>(&self, reason: Reason)
     where
         Reason: Label,
     {
         self.refusals.add(reason, 1);
     }
 
-    /// Counts a further try.
-    pub fn retried<Reason>(&self, reason: Reason)
+    /// Counts a retry.
+    pub fn record_retry<Reason>(&self, reason: Reason)
     where
         Reason: Label,
     {
@@ -129,38 +129,38 @@
     }
 
     /// Counts a request that met all its targets.
-    pub fn met_targets(&self) {
+    pub fn record_goodput(&self) {
         self.goodput.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Counts prefilled prompt tokens.
-    pub fn prefilled(&self, tokens: Tokens) {
+    pub fn record_prefill(&self, tokens: Tokens) {
         self.prefill_tokens.fetch_add(tokens.0, Ordering::Relaxed);
     }
 
-    /// Counts prefilled tokens that were thrown away or done again.
-    pub fn wasted_prefill<Cause>(&self, cause: Cause, tokens: Tokens)
+    /// Counts prefilled tokens that were discarded or recomputed.
+    pub fn record_wasted_prefill<Cause>(&self, cause: Cause, tokens: Tokens)
     where
         Cause: Label,
     {
-        self.wasted.add(cause, tokens.0);
+        self.wasted_prefill_tokens.add(cause, tokens.0);
     }
 
     /// Records the time from a request's arrival to its first token.
-    pub fn first_token(&self, span_us: Micros) {
+    pub fn record_first_token(&self, elapsed_us: Micros) {
         let [partner, _] = &self.attributes;
-        let millis = span_us.0 as f64 / MICROS_PER_MILLI;
+        let millis = elapsed_us.0 as f64 / MICROS_PER_MILLI;
         self.histograms.first_token_ms.record(millis, std::slice::from_ref(partner));
     }
 
     /// Records the mean time between a request's tokens.
-    pub fn per_token(&self, span_us: Micros) {
+    pub fn record_per_token(&self, elapsed_us: Micros) {
         let [partner, _] = &self.attributes;
-        let millis = span_us.0 as f64 / MICROS_PER_MILLI;
+        let millis = elapsed_us.0 as f64 / MICROS_PER_MILLI;
         self.histograms.per_token_ms.record(millis, std::slice::from_ref(partner));
     }
 
-    /// The counters at this moment.
+    /// Returns a snapshot of the counters.
     pub fn totals(&self) -> ClassTotals {
         ClassTotals {
             partner: self.partner.clone(),
@@ -170,7 +170,7 @@
             refusals: self.refusals.counts(),
             retries: self.retries.counts(),
             prefill_tokens: Tokens(self.prefill_tokens.load(Ordering::Relaxed)),
-            wasted_prefill_tokens: self.wasted.counts(),
+            wasted_prefill_tokens: self.wasted_prefill_tokens.counts(),
         }
     }
 }
--- a/crates/router/src/metrics/gauge.rs
+++ b/crates/router/src/metrics/gauge.rs
@@ -1,27 +1,27 @@
-//! Values that go up and down.
+//! Gauges of the daemon.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What a daemon shows of its present state.
+/// Gauge that a daemon exports.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Gauge {
-    /// Offset up to which configuration is in force here.
+    /// Log offset up to which configuration is in force on this daemon.
     ConfigVersion,
-    /// Time since the last successful read of the configuration stream, here or through a peer.
+    /// Milliseconds since the configuration stream was last read successfully, directly or through a peer.
     ConfigAgeMs,
-    /// Processor time that control takes, in millionths of a core. The budget is 28,000.
+    /// CPU time of control in millionths of a core. The budget is 28,000.
     ControlCpuPpm,
-    /// Memory that control takes. The budget is 32 MB.
+    /// Memory usage of control in bytes. The budget is 32 MB.
     ControlMemoryBytes,
-    /// Bytes a second sent for control. The budget is 4,096.
+    /// Bytes sent per second by control. The budget is 4,096.
     ControlSentBytesPerS,
-    /// Requests that are running.
+    /// Number of requests in flight.
     RequestsInFlight,
-    /// Requests that wait for capacity.
+    /// Number of requests queued for capacity.
     RequestsQueued,
-    /// Daemons known to live, in all data centres.
+    /// Number of daemons known to be live, over all data centres.
     HostsLive,
-    /// Backend servers that take work.
+    /// Number of backend servers that accept work.
     BackendServersLive,
 }
 
@@ -39,7 +39,7 @@
         Self::BackendServersLive,
     ];
 
-    /// Name of the metric.
+    /// Name of the exported metric.
     pub fn name(self) -> &'static str {
         match self {
             Self::ConfigVersion => "hibiscusvale_config_version",
--- a/crates/router/src/figures.rs
+++ b/crates/router/src/metrics_reporter.rs
@@ -1,4 +1,4 @@
-//! Once a second, what the services know in their own terms becomes gauges and counters.
+//! Exports the state and counts of the services as gauges and counters once a second.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,50 +18,49 @@
 use crate::metrics::{Gauge, Label, Metrics};
 use crate::peer::{LinkCounts, NngLink};
 
-/// Scrapers ask every few seconds; finer figures would be read by nobody.
-const PERIOD: Duration = Duration::from_secs(1);
+/// Update interval. Scrapers read every few seconds, so a shorter one gains nothing.
+const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Where the figures come from and go to.
+/// Sources of the exported values and the metrics that they are written to.
 #[derive(Clone, Debug)]
-pub struct Figures {
-    /// What control costs.
+pub struct MetricsReporter {
+    /// Resource usage of control.
     pub usage: Arc<ArcSwap<ControlUsage>>,
-    /// Who lives.
+    /// Current cluster members.
     pub members: Arc<ArcSwap<MembersView>>,
-    /// What happened to membership.
+    /// Event counts of membership.
     pub membership_counts: Arc<ArcSwap<MembershipCounts>>,
-    /// What happened to spreading.
+    /// Event counts of configuration dissemination.
     pub spread_counts: Arc<ArcSwap<SpreadCounts>>,
-    /// The backend servers.
+    /// Known backend servers.
     pub directory: Arc<Directory>,
-    /// The scheduler of language requests.
+    /// Scheduler of language requests.
     pub hub: Arc<Hub>,
-    /// Requests under way.
+    /// Requests in flight.
     pub tasks: TaskTracker,
-    /// The link to other daemons.
+    /// Transport to the other daemons.
     pub link: Arc<NngLink>,
-    /// Where the figures go.
+    /// Metrics that are written.
     pub metrics: Metrics,
 }
 
-/// A count by its name. The names are those of [`LinkCounts`], [`MembershipCounts`] and [`SpreadCounts`], closed
-/// sets.
+/// Name of a counter in [`LinkCounts`], [`MembershipCounts`] or [`SpreadCounts`], which are closed sets.
 #[derive(Clone, Copy, Debug)]
-struct Named(&'static str);
+struct CounterName(&'static str);
 
-impl Label for Named {
+impl Label for CounterName {
     fn label(self) -> &'static str {
         self.0
     }
 }
 
-/// What happened in the ledgers of watched engines, or in the scheduler, as counters name it.
+/// Event in the slot ledger of a watched engine, in the scheduler or in resource accounting.
 #[derive(Clone, Copy, Debug)]
-enum Happened {
+enum DaemonEvent {
     GrantExpired,
     GrantTakenOver,
     EngineOverCommitted,
-    EngineClosedAsMute,
+    EngineUnresponsive,
     AskTimedOut,
     TurnReturned,
     RetryDenied,
@@ -69,13 +68,13 @@
     ControlOverBudget,
 }
 
-impl Label for Happened {
+impl Label for DaemonEvent {
     fn label(self) -> &'static str {
         match self {
             Self::GrantExpired => "grant-expired",
             Self::GrantTakenOver => "grant-taken-over",
             Self::EngineOverCommitted => "engine-over-committed",
-            Self::EngineClosedAsMute => "engine-closed-as-mute",
+            Self::EngineUnresponsive => "engine-closed-as-mute",
             Self::AskTimedOut => "ask-timed-out",
             Self::TurnReturned => "turn-returned",
             Self::RetryDenied => "retry-denied",
@@ -85,43 +84,43 @@
     }
 }
 
-/// Counts what a ledger has counted since `before`.
+/// Counts the events of a ledger between the snapshots `before` and `after`.
 pub fn count_ledger(metrics: &Metrics, before: LedgerCounters, after: LedgerCounters) {
-    count(metrics, Happened::GrantExpired, before.expired, after.expired);
-    count(metrics, Happened::GrantTakenOver, before.taken_over, after.taken_over);
-    count(metrics, Happened::EngineOverCommitted, before.over_committed, after.over_committed);
-    count(metrics, Happened::EngineClosedAsMute, before.closed, after.closed);
+    count(metrics, DaemonEvent::GrantExpired, before.expired, after.expired);
+    count(metrics, DaemonEvent::GrantTakenOver, before.taken_over, after.taken_over);
+    count(metrics, DaemonEvent::EngineOverCommitted, before.over_committed, after.over_committed);
+    count(metrics, DaemonEvent::EngineUnresponsive, before.closed, after.closed);
 }
 
 fn count_scheduler(metrics: &Metrics, before: &Counters, after: &Counters) {
-    count(metrics, Happened::AskTimedOut, before.ask_timeouts, after.ask_timeouts);
-    count(metrics, Happened::TurnReturned, before.turns_returned, after.turns_returned);
-    count(metrics, Happened::RetryDenied, before.retries_denied, after.retries_denied);
-    count(metrics, Happened::SlotUnconfirmed, before.unconfirmed_transfers, after.unconfirmed_transfers);
+    count(metrics, DaemonEvent::AskTimedOut, before.ask_timeouts, after.ask_timeouts);
+    count(metrics, DaemonEvent::TurnReturned, before.turns_returned, after.turns_returned);
+    count(metrics, DaemonEvent::RetryDenied, before.retries_denied, after.retries_denied);
+    count(metrics, DaemonEvent::SlotUnconfirmed, before.unconfirmed_transfers, after.unconfirmed_transfers);
 }
 
-fn count(metrics: &Metrics, what: Happened, before: u64, after: u64) {
+fn count(metrics: &Metrics, event: DaemonEvent, before: u64, after: u64) {
     if after > before {
-        metrics.events(what, after - before);
+        metrics.count_events(event, after - before);
     }
 }
 
-impl Figures {
-    /// Runs for as long as the daemon does.
+impl MetricsReporter {
+    /// Updates the metrics until the task is cancelled.
     pub async fn run(self) {
-        let mut period = tokio::time::interval(PERIOD);
-        period.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut counted = LinkCounts::default();
-        let mut decided = Counters::default();
+        let mut interval = tokio::time::interval(UPDATE_INTERVAL);
+        interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut link_counts = LinkCounts::default();
+        let mut scheduler_counts = Counters::default();
         let mut membership = MembershipCounts::default();
         let mut spread = SpreadCounts::default();
         loop {
-            period.tick().await;
+            interval.tick().await;
             self.set_gauges();
-            counted = self.count_link(counted);
+            link_counts = self.count_link(link_counts);
             let now = self.hub.counters();
-            count_scheduler(&self.metrics, &decided, &now);
-            decided = now;
+            count_scheduler(&self.metrics, &scheduler_counts, &now);
+            scheduler_counts = now;
             let now = **self.membership_counts.load();
             self.count_events(&membership.by_name(), &now.by_name());
             membership = now;
@@ -134,8 +133,8 @@
     fn set_gauges(&self) {
         let usage = self.usage.load();
         if usage.is_over(&ControlBudget::default()) {
-            // A second in which control took more than a host may spend on it.
-            self.metrics.event(Happened::ControlOverBudget);
+            // Counts each second in which control exceeded its budget per host.
+            self.metrics.count_event(DaemonEvent::ControlOverBudget);
         }
         let now_us = clock::now();
         let listing = self.directory.listing();
@@ -151,14 +150,14 @@
         set(Gauge::BackendServersLive, live as u64);
     }
 
-    /// Counts what the link refused and dropped since `counted`.
-    fn count_link(&self, counted: LinkCounts) -> LinkCounts {
+    /// Counts messages that the link refused or dropped since `previous`.
+    fn count_link(&self, previous: LinkCounts) -> LinkCounts {
         let now = self.link.counts();
-        for ((name, before), (_, after)) in counted.by_name().zip(now.by_name()) {
+        for ((name, before), (_, after)) in previous.by_name().zip(now.by_name()) {
             if name.starts_with("dropped") || name.starts_with("refused") {
-                self.metrics.peer_dropped(Named(name), after - before);
+                self.metrics.count_peer_drops(CounterName(name), after - before);
             } else if matches!(name, "probes" | "redialled") {
-                self.metrics.events(Named(name), after - before);
+                self.metrics.count_events(CounterName(name), after - before);
             }
         }
         now
@@ -166,7 +165,7 @@
 
     fn count_events(&self, before: &[(&'static str, u64)], now: &[(&'static str, u64)]) {
         for ((name, before), (_, now)) in before.iter().zip(now) {
-            self.metrics.events(Named(name), now - before);
+            self.metrics.count_events(CounterName(name), now - before);
         }
     }
 }
--- a/crates/router/src/operators.rs
+++ b/crates/router/src/operators.rs
@@ -1,7 +1,7 @@
-//! The edge towards operators: health, metrics and the JSON views that `hibiscusvale` reads.
+//! Operator API: health checks, metrics and the JSON views that `hibiscusvale` reads.
 //!
-//! It listens on an address that callers do not reach. Everything is read from snapshots, so a slow or
-//! impatient operator delays nothing.
+//! Served on an address that callers cannot reach. All data is read from snapshots, so slow or frequent operator
+//! requests do not delay traffic.
 
 mod client;
 mod listener;
@@ -15,7 +15,7 @@
 use hibiscusvale_core::ids::Incarnation;
 use hibiscusvale_core::membership::MembersView;
 
-pub use self::client::{OperatorsClient, OperatorsFailure};
+pub use self::client::{OperatorClient, OperatorClientError};
 pub use self::listener::OperatorListener;
 pub use self::ready::{Readiness, ReadyState};
 pub use self::recent::{RecentRequests, RequestRecord, RequestStep};
@@ -23,21 +23,21 @@
 use crate::metrics::Metrics;
 use crate::settings::HostSettings;
 
-/// What the operators' edge reads from.
+/// Data sources of the operator API.
 #[derive(Clone, Debug)]
-pub struct OperatorsParts {
-    /// Who this daemon is.
+pub struct OperatorSources {
+    /// Identity of this daemon.
     pub host: HostSettings,
-    /// Its life.
+    /// Identifies the run of the daemon process.
     pub incarnation: Incarnation,
-    /// Configuration.
+    /// Configuration in force.
     pub config: ConfigHandle,
     /// Counters and gauges.
     pub metrics: Metrics,
-    /// Who lives.
+    /// Current cluster members.
     pub members: Arc<ArcSwap<MembersView>>,
-    /// The latest requests.
+    /// Most recent finished requests.
     pub recent: Arc<RecentRequests>,
-    /// Whether the balancer is to send callers here.
+    /// Readiness reported to the load balancer.
     pub readiness: Arc<Readiness>,
 }
--- a/crates/router/src/operators/client.rs
+++ b/crates/router/src/operators/client.rs
@@ -1,4 +1,4 @@
-//! Reads the views of a daemon.
+//! Client of the operator API.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,36 +9,36 @@
 
 use crate::backend::{BackendHttp, CallFailure, ConnectionReuse, read_body, uri};
 
-/// A daemon that takes longer is of no use to an operator who waits.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Response timeout; an interactive command should not wait longer for one daemon.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The whole configuration of 280 organisations with room.
-const VIEW_LIMIT_BYTES: usize = 16 << 20;
+/// Largest view; leaves room above the whole configuration of 280 organisations.
+const MAX_VIEW_BYTES: usize = 16 << 20;
 
-/// Why a view could not be read.
+/// Reason why a view could not be read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-pub enum OperatorsFailure {
-    /// The daemon does not have what was asked for.
-    #[error("not known there")]
+pub enum OperatorClientError {
+    /// The daemon does not have the requested item.
+    #[error("not found on this daemon")]
     NotFound,
-    /// The daemon could not be reached, or did not answer.
+    /// The daemon could not be reached or gave no usable response.
     #[error("{0}")]
     Call(#[from] CallFailure),
 }
 
-/// Reads the views of daemons.
+/// HTTP client for the views of daemons.
 #[derive(Clone, Debug, Default)]
-pub struct OperatorsClient {
+pub struct OperatorClient {
     http: BackendHttp,
 }
 
-impl OperatorsClient {
-    /// Reads the view at `path` of the daemon whose operator address is `host`.
+impl OperatorClient {
+    /// Reads the view at `path` of the daemon with the operator address `host`.
     ///
     /// # Errors
     ///
-    /// [`OperatorsFailure`].
-    pub async fn view<View>(&self, host: SocketAddr, path: &str) -> Result<View, OperatorsFailure>
+    /// [`OperatorClientError`] when the daemon does not have the item or the call fails.
+    pub async fn view<View>(&self, host: SocketAddr, path: &str) -> Result<View, OperatorClientError>
     where
         View: DeserializeOwned,
     {
@@ -46,13 +46,13 @@
             .uri(uri(host, path)?)
             .body(Full::default())
             .map_err(|_| CallFailure::Malformed)?;
-        let response = self.http.send(ConnectionReuse::Fresh, request, ANSWER_TIMEOUT).await?;
+        let response = self.http.send(ConnectionReuse::Fresh, request, RESPONSE_TIMEOUT).await?;
         match response.status() {
             StatusCode::OK => {}
-            StatusCode::NOT_FOUND => return Err(OperatorsFailure::NotFound),
+            StatusCode::NOT_FOUND => return Err(OperatorClientError::NotFound),
             _ => return Err(CallFailure::Malformed.into()),
         }
-        let body = read_body(response.into_body(), VIEW_LIMIT_BYTES, ANSWER_TIMEOUT).await?;
+        let body = read_body(response.into_body(), MAX_VIEW_BYTES, RESPONSE_TIMEOUT).await?;
         Ok(serde_json::from_slice(&body).map_err(|_| CallFailure::Malformed)?)
     }
 }
--- a/crates/router/src/operators/listener.rs
+++ b/crates/router/src/operators/listener.rs
@@ -1,4 +1,4 @@
-//! Serves operators by HTTP.
+//! HTTP server of the operator API.
 
 use std::convert::Infallible;
 use std::io;
@@ -22,25 +22,25 @@
 use super::views::{
     ClassOutcomes, ConfigView, MemberView, MembersListView, OutcomesView, RequestView, StatusView,
 };
-use super::{OperatorsParts, ReadyState};
+use super::{OperatorSources, ReadyState};
 
-/// Connections served at once. Operators and scrapers are few; more is a script gone wild, and it must not take
-/// the daemon's sockets from callers.
-const CONNECTIONS: usize = 64;
+/// Concurrent connections. Operators and scrapers need few; the limit keeps a runaway script from taking the sockets
+/// that callers need.
+const MAX_CONNECTIONS: usize = 64;
 
-/// Time for a request head to arrive.
+/// Timeout for reading a request head.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Pause after the system refused a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before the next attempt after `accept` failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 const JSON: &str = "application/json";
 const TEXT: &str = "text/plain; charset=utf-8";
 const METRICS: &str = "text/plain; version=0.0.4; charset=utf-8";
 
-type Answer = Response<Full<Bytes>>;
+type HttpResponse = Response<Full<Bytes>>;
 
-/// A bound socket for operators that is not yet served.
+/// Bound listener of the operator API that does not serve yet.
 #[derive(Debug)]
 pub struct OperatorListener {
     socket: StdTcpListener,
@@ -51,43 +51,43 @@
     ///
     /// # Errors
     ///
-    /// The system's error.
+    /// The I/O error of the socket.
     pub fn bind(address: SocketAddr) -> io::Result<Self> {
         let socket = StdTcpListener::bind(address)?;
         socket.set_nonblocking(true)?;
         Ok(Self { socket })
     }
 
-    /// The address that was bound.
+    /// The bound local address.
     ///
     /// # Errors
     ///
-    /// The system's error.
+    /// The I/O error of the socket.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// Serves until `stop` fires. Operators are answered while the daemon drains, so stop this one last.
+    /// Serves until `stop` is cancelled. Operators need the API while the daemon drains, so stop this listener last.
     ///
     /// # Errors
     ///
-    /// The system's error when the socket cannot be handed to the runtime.
-    pub async fn serve(self, parts: OperatorsParts, stop: CancellationToken) -> io::Result<()> {
+    /// The I/O error when the socket cannot be registered with the runtime.
+    pub async fn serve(self, sources: OperatorSources, stop: CancellationToken) -> io::Result<()> {
         let socket = TcpListener::from_std(self.socket)?;
-        let parts = Arc::new(parts);
-        let permits = Arc::new(Semaphore::new(CONNECTIONS));
+        let sources = Arc::new(sources);
+        let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
         loop {
             let accepted = tokio::select! {
                 accepted = socket.accept() => accepted,
                 () = stop.cancelled() => return Ok(()),
             };
             let Ok((stream, _)) = accepted else {
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
-            // A connection over the bound is closed at once; whoever waits for it asks again.
+            // Connections above the limit are closed at once; clients retry.
             if let Ok(permit) = Arc::clone(&permits).try_acquire_owned() {
-                tokio::spawn(serve_connection(stream, Arc::clone(&parts), stop.clone(), permit));
+                tokio::spawn(serve_connection(stream, Arc::clone(&sources), stop.clone(), permit));
             }
         }
     }
@@ -95,47 +95,47 @@
 
 async fn serve_connection(
     stream: TcpStream,
-    parts: Arc<OperatorsParts>,
+    sources: Arc<OperatorSources>,
     stop: CancellationToken,
     _permit: OwnedSemaphorePermit,
 ) {
     let service = service_fn(move |request: Request<Incoming>| {
-        let answer = answer(&parts, &request);
-        async move { Ok::<_, Infallible>(answer) }
+        let response = handle(&sources, &request);
+        async move { Ok::<_, Infallible>(response) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
     tokio::select! {
-        // A broken connection concerns nobody but the operator, who asks again.
+        // Connection errors are ignored: they affect only this client, which can retry.
         _ = connection => {}
         () = stop.cancelled() => {}
     }
 }
 
-fn answer(parts: &OperatorsParts, request: &Request<Incoming>) -> Answer {
+fn handle(sources: &OperatorSources, request: &Request<Incoming>) -> HttpResponse {
     if request.method() != Method::GET {
-        return text(StatusCode::METHOD_NOT_ALLOWED, "only GET is answered here\n");
+        return text(StatusCode::METHOD_NOT_ALLOWED, "only GET is supported\n");
     }
     let path = request.uri().path();
     if let Some(id) = path.strip_prefix("/control/why/") {
-        return why(parts, id);
+        return explain_request(sources, id);
     }
     match path {
         "/healthz" => text(StatusCode::OK, "ok\n"),
-        "/readyz" => ready(parts),
-        "/metrics" => respond(StatusCode::OK, METRICS, parts.metrics.render().into()),
-        "/control/config" => config(parts, request.uri().query()),
-        "/control/status" => json(&StatusView::new(parts)),
-        "/control/outcomes" => json(&outcomes(parts)),
-        "/control/members" => json(&members(parts)),
-        _ => text(StatusCode::NOT_FOUND, "no such view\n"),
+        "/readyz" => ready(sources),
+        "/metrics" => respond(StatusCode::OK, METRICS, sources.metrics.render().into()),
+        "/control/config" => config(sources, request.uri().query()),
+        "/control/status" => json(&StatusView::new(sources)),
+        "/control/outcomes" => json(&outcomes(sources)),
+        "/control/members" => json(&members(sources)),
+        _ => text(StatusCode::NOT_FOUND, "view not found\n"),
     }
 }
 
-fn ready(parts: &OperatorsParts) -> Answer {
-    let state = parts.readiness.state();
+fn ready(sources: &OperatorSources) -> HttpResponse {
+    let state = sources.readiness.state();
     let status = match state {
         ReadyState::Ready => StatusCode::OK,
         _ => StatusCode::SERVICE_UNAVAILABLE,
@@ -143,56 +143,56 @@
     text(status, state.as_str())
 }
 
-fn config(parts: &OperatorsParts, query: Option<&str>) -> Answer {
-    let named = query.and_then(|query| query.strip_prefix("partner="));
-    let Ok(only) = named.map(str::parse::<PartnerId>).transpose() else {
-        return text(StatusCode::BAD_REQUEST, "partner is not a name\n");
+fn config(sources: &OperatorSources, query: Option<&str>) -> HttpResponse {
+    let partner = query.and_then(|query| query.strip_prefix("partner="));
+    let Ok(only) = partner.map(str::parse::<PartnerId>).transpose() else {
+        return text(StatusCode::BAD_REQUEST, "invalid partner name\n");
     };
-    json(&ConfigView::new(&parts.host.id, &parts.config.state.load(), only.as_ref()))
+    json(&ConfigView::new(&sources.host.id, &sources.config.state.load(), only.as_ref()))
 }
 
-fn outcomes(parts: &OperatorsParts) -> OutcomesView {
+fn outcomes(sources: &OperatorSources) -> OutcomesView {
     OutcomesView {
-        host: parts.host.id.clone(),
-        incarnation: parts.incarnation.to_string(),
-        classes: parts.metrics.totals().into_iter().map(ClassOutcomes::from).collect(),
+        host: sources.host.id.clone(),
+        incarnation: sources.incarnation.to_string(),
+        classes: sources.metrics.totals().into_iter().map(ClassOutcomes::from).collect(),
     }
 }
 
-fn members(parts: &OperatorsParts) -> MembersListView {
-    let view = parts.members.load();
+fn members(sources: &OperatorSources) -> MembersListView {
+    let view = sources.members.load();
     MembersListView {
-        host: parts.host.id.clone(),
+        host: sources.host.id.clone(),
         is_heard: view.is_heard,
         members: view.all().map(MemberView::from).collect(),
     }
 }
 
-fn why(parts: &OperatorsParts, id: &str) -> Answer {
+fn explain_request(sources: &OperatorSources, id: &str) -> HttpResponse {
     let Ok(request_id) = id.parse::<RequestId>() else {
-        return text(StatusCode::BAD_REQUEST, "request id is not one\n");
+        return text(StatusCode::BAD_REQUEST, "invalid request id\n");
     };
-    match parts.recent.find(request_id) {
-        Some(record) => json(&RequestView::new(&parts.host.id, &record)),
-        None => text(StatusCode::NOT_FOUND, "request is not remembered here\n"),
+    match sources.recent.find(request_id) {
+        Some(record) => json(&RequestView::new(&sources.host.id, &record)),
+        None => text(StatusCode::NOT_FOUND, "request not found among recent requests\n"),
     }
 }
 
-fn json<View>(view: &View) -> Answer
+fn json<View>(view: &View) -> HttpResponse
 where
     View: Serialize,
 {
     match serde_json::to_vec(view) {
         Ok(encoded) => respond(StatusCode::OK, JSON, encoded.into()),
-        Err(_) => text(StatusCode::INTERNAL_SERVER_ERROR, "view could not be written\n"),
+        Err(_) => text(StatusCode::INTERNAL_SERVER_ERROR, "could not serialize view\n"),
     }
 }
 
-fn text(status: StatusCode, words: &'static str) -> Answer {
-    respond(status, TEXT, Bytes::from_static(words.as_bytes()))
+fn text(status: StatusCode, message: &'static str) -> HttpResponse {
+    respond(status, TEXT, Bytes::from_static(message.as_bytes()))
 }
 
-fn respond(status: StatusCode, content_type: &'static str, body: Bytes) -> Answer {
+fn respond(status: StatusCode, content_type: &'static str, body: Bytes) -> HttpResponse {
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = status;
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(content_type));
--- a/crates/router/src/operators/ready.rs
+++ b/crates/router/src/operators/ready.rs
@@ -1,24 +1,24 @@
-//! Whether the balancer is to send callers to this daemon.
+//! Readiness of this daemon as reported to the load balancer.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use tokio::sync::watch;
 
-/// Why the balancer is to look elsewhere, if it is.
+/// Whether the daemon accepts callers, and if not, why.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReadyState {
-    /// Callers are served.
+    /// The daemon serves callers.
     Ready,
-    /// The daemon stops; requests in flight end in their time.
+    /// The daemon is stopping; requests in flight run to completion.
     Draining,
-    /// Configuration is not known yet; every class would look unknown.
+    /// No configuration is loaded yet, so every request would be refused for an unknown class.
     NoConfiguration,
-    /// The host list has not been read yet; there is nowhere to send a request.
+    /// The host list has not been read yet, so no backend server is known.
     NoHostList,
 }
 
 impl ReadyState {
-    /// The state in an answer.
+    /// Text of the state in responses.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Ready => "ready",
@@ -29,35 +29,35 @@
     }
 }
 
-/// Gathers what readiness depends on.
+/// Tracks the conditions for readiness.
 #[derive(Debug)]
 pub struct Readiness {
-    config: watch::Receiver<bool>,
+    is_config_known: watch::Receiver<bool>,
     has_host_list: AtomicBool,
     is_draining: AtomicBool,
 }
 
 impl Readiness {
-    /// Not ready until `config` says so and the host list was read.
-    pub fn new(config: watch::Receiver<bool>) -> Self {
-        Self { config, has_host_list: AtomicBool::new(false), is_draining: AtomicBool::new(false) }
+    /// Becomes ready once `is_config_known` is true and the host list has been read.
+    pub fn new(is_config_known: watch::Receiver<bool>) -> Self {
+        Self { is_config_known, has_host_list: AtomicBool::new(false), is_draining: AtomicBool::new(false) }
     }
 
-    /// The host list was read.
-    pub fn host_list_known(&self) {
+    /// Records that the host list has been read.
+    pub fn set_host_list_known(&self) {
         self.has_host_list.store(true, Ordering::Relaxed);
     }
 
-    /// The daemon begins to stop.
-    pub fn drain(&self) {
+    /// Marks the daemon as draining. This cannot be undone.
+    pub fn start_draining(&self) {
         self.is_draining.store(true, Ordering::Relaxed);
     }
 
-    /// The state now.
+    /// Current readiness.
     pub fn state(&self) -> ReadyState {
         if self.is_draining.load(Ordering::Relaxed) {
             ReadyState::Draining
-        } else if !*self.config.borrow() {
+        } else if !*self.is_config_known.borrow() {
             ReadyState::NoConfiguration
         } else if !self.has_host_list.load(Ordering::Relaxed) {
             ReadyState::NoHostList
--- a/crates/router/src/operators/recent.rs
+++ b/crates/router/src/operators/recent.rs
@@ -1,4 +1,4 @@
-//! The latest finished requests, for `hibiscusvale why`.
+//! Most recent finished requests, for `hibiscusvale why`.
 
 use std::collections::VecDeque;
 
@@ -6,39 +6,39 @@
 use hibiscusvale_core::units::Millis;
 use parking_lot::Mutex;
 
-/// What happened to one request.
+/// History of one finished request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RequestRecord {
-    /// Its id.
+    /// Id of the request.
     pub request_id: RequestId,
-    /// Whose it was; absent when no token matched.
+    /// Partner that sent it; `None` when no token matched.
     pub partner: Option<PartnerId>,
-    /// Its class; absent when none was understood.
+    /// Class of the request; `None` when it could not be determined.
     pub class: Option<ClassName>,
-    /// How it ended: the label of its outcome.
+    /// Label of the outcome.
     pub outcome: &'static str,
-    /// Why it was refused, if it was: the label of the reason.
+    /// Label of the refusal reason; `None` when the request was not refused.
     pub refusal: Option<&'static str>,
-    /// When it came, by the wall clock.
+    /// Arrival time on the wall clock, in milliseconds since the Unix epoch.
     pub came_at_unix_ms: u64,
-    /// How long it took.
+    /// Time from arrival to completion.
     pub took_ms: Millis,
-    /// What was done for it, in order.
+    /// Processing steps in order.
     pub steps: Vec<RequestStep>,
 }
 
-/// One thing that was done for a request.
+/// One processing step of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RequestStep {
-    /// Time since the request came.
+    /// Time since arrival of the request.
     pub after_ms: Millis,
-    /// What was done, or what came of it: a label of a closed set.
+    /// Label of the action or its result, from a closed set.
     pub what: &'static str,
-    /// The backend server that it was done at.
+    /// Backend server involved, if any.
     pub server: Option<BackendServerId>,
 }
 
-/// A ring of the latest finished requests.
+/// Ring buffer of the most recent finished requests.
 #[derive(Debug)]
 pub struct RecentRequests {
     capacity: usize,
@@ -46,13 +46,13 @@
 }
 
 impl RecentRequests {
-    /// A ring of `capacity` requests.
+    /// Creates a buffer for `capacity` requests.
     pub fn new(capacity: usize) -> Self {
         Self { capacity, records: Mutex::new(VecDeque::with_capacity(capacity)) }
     }
 
-    /// Remembers a request, in place of the oldest.
-    pub fn note(&self, record: RequestRecord) {
+    /// Inserts a request and evicts the oldest when the buffer is full.
+    pub fn insert(&self, record: RequestRecord) {
         let mut records = self.records.lock();
         if records.len() >= self.capacity {
             records.pop_front();
@@ -60,7 +60,7 @@
         records.push_back(record);
     }
 
-    /// What happened to a request, if it is still remembered.
+    /// Returns the record of a request, or `None` when it is unknown or evicted.
     pub fn find(&self, request_id: RequestId) -> Option<RequestRecord> {
         let records = self.records.lock();
         records.iter().rev().find(|record| record.request_id == request_id).cloned()
--- a/crates/router/src/operators/views.rs
+++ b/crates/router/src/operators/views.rs
@@ -1,4 +1,4 @@
-//! The JSON views of a daemon, as it writes and the client reads them.
+//! JSON views of a daemon's state, shared by the operator API and its client.
 
 mod convert;
 
@@ -9,274 +9,274 @@
 /// `/control/config`.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct ConfigView {
-    /// The daemon's host.
+    /// Host of the daemon.
     pub host: HostId,
-    /// Whether any configuration is known.
+    /// Whether the daemon has loaded a configuration.
     pub is_known: bool,
-    /// The first offset that is not in force.
+    /// First offset that is not in force.
     pub next_offset: Offset,
-    /// What each partner has published, or tried to.
+    /// Configuration and change history by partner.
     pub partners: Vec<PartnerView>,
-    /// The latest records that no partner can be shown to have made.
+    /// Most recent records that could not be attributed to a partner.
     pub unattributed: Vec<UnattributedView>,
 }
 
-/// What one partner has published.
+/// Configuration of one partner.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct PartnerView {
-    /// The partner.
+    /// Name of the partner.
     pub partner: PartnerId,
-    /// Offset of its last accepted change.
+    /// Offset of the last accepted change; `None` when there is none.
     pub version: Option<Offset>,
-    /// Its classes in force.
+    /// Classes in force.
     pub classes: Vec<ClassView>,
-    /// Its latest changes, oldest first.
+    /// Most recent changes, oldest first.
     pub history: Vec<ChangeView>,
 }
 
 /// A class in force.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct ClassView {
-    /// Its name.
+    /// Name of the class.
     pub class: ClassName,
-    /// Its target.
+    /// Latency target.
     #[serde(flatten)]
     pub target: TargetView,
-    /// The change that set it.
+    /// Offset of the change that last set it.
     pub changed_at: Offset,
 }
 
-/// A target, as class files and views write it.
+/// Latency target as written in class files and views.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(tag = "kind", rename_all = "lowercase")]
 pub enum TargetView {
-    /// Language work.
+    /// Requests to language models.
     Language {
-        /// From arrival to the first token.
+        /// Time from arrival to the first token.
         first_token_ms: Millis,
-        /// Between tokens, on average over the request.
+        /// Mean time between tokens of a request.
         per_token_ms: Millis,
     },
-    /// Calls to plain services.
+    /// Requests to plain services.
     Plain {
-        /// From arrival to the whole answer.
+        /// Time from arrival to the complete response.
         response_ms: Millis,
     },
 }
 
-/// One change of a partner.
+/// One configuration change of a partner.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct ChangeView {
-    /// Where the record stands.
+    /// Offset of the record in the log.
     pub offset: Offset,
-    /// Names the change.
+    /// Id of the change.
     pub change_id: String,
-    /// Who made it; absent where the content was not understood.
+    /// Author of the change; `None` when the content could not be decoded.
     pub author: Option<String>,
-    /// When, by the operator's clock.
+    /// Creation time on the operator's clock, in milliseconds since the Unix epoch.
     pub made_at_unix_ms: u64,
-    /// What came of it.
+    /// Result of the change.
     pub verdict: VerdictView,
-    /// The first few changes in it, in words.
+    /// Descriptions of the first few class changes in it.
     pub changes: Vec<String>,
-    /// How many changes it holds.
+    /// Total number of class changes in it.
     pub changes_total: u32,
 }
 
-/// What came of a change.
+/// Result of a configuration change.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(tag = "verdict", rename_all = "kebab-case")]
 pub enum VerdictView {
-    /// It came into force.
+    /// The change is in force.
     Accepted,
-    /// It had been accepted before, at the offset `first`.
+    /// The same change was accepted earlier.
     Duplicate {
-        /// Where it was accepted.
+        /// Offset at which it was accepted.
         first: Offset,
     },
-    /// It changed nothing.
+    /// The change was rejected and has no effect.
     Rejected {
-        /// The reason's name.
+        /// Identifier of the reason.
         reason: String,
-        /// The reason in words.
+        /// Description of the reason.
         detail: String,
     },
 }
 
-/// A record that no partner can be shown to have made.
+/// Record that could not be attributed to a partner.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct UnattributedView {
-    /// Where the record stands.
+    /// Offset of the record in the log.
     pub offset: Offset,
-    /// The partner that it claims to come from.
+    /// Partner named in the record, unverified.
     pub claimed_publisher: Option<PartnerId>,
-    /// The change id that it carries.
+    /// Change id in the record, if any.
     pub change_id: Option<String>,
-    /// Why it changed nothing.
+    /// Reason why it was rejected.
     pub reason: String,
 }
 
 /// `/control/status`.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct StatusView {
-    /// The daemon's host.
+    /// Host of the daemon.
     pub host: HostId,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentreId,
-    /// Its region.
+    /// Region of the host.
     pub region: RegionId,
-    /// Its life.
+    /// Identifies the run of the daemon process.
     pub incarnation: String,
-    /// Whether callers are served, or why not.
+    /// Readiness, or the reason why callers are not accepted.
     pub ready: String,
-    /// The first configuration offset that is not in force.
+    /// First configuration offset that is not in force.
     pub next_offset: Offset,
-    /// Hash of what is in force: the same on all hosts at one offset.
+    /// Hash of the configuration in force; equal on all hosts at the same offset.
     pub state: String,
-    /// The log, as last read here.
+    /// State of the log at the last read by this daemon.
     pub log: LogStateView,
-    /// Why the log could not be read last, if it could not.
+    /// Error of the last read of the log; `None` when it succeeded.
     pub log_failure: Option<String>,
     /// Whether this daemon reads the log itself.
     pub is_reader: bool,
-    /// Time since the log or a peer brought something, or said that there is nothing.
+    /// Time since the last update from the log or a peer, empty ones included.
     pub config_age_ms: Millis,
     /// Offset of the newest checkpoint seen in the log.
     pub checkpoint: Option<Offset>,
-    /// Daemons known to live.
+    /// Number of daemons known to be live.
     pub hosts_live: u64,
-    /// Requests that are running.
+    /// Number of requests in flight.
     pub requests_in_flight: u64,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub requests_queued: u64,
-    /// What control costs this daemon.
+    /// Resource usage of control in this daemon.
     pub control: ControlView,
 }
 
-/// The log, as a daemon sees it.
+/// State of the log relative to the configuration in force.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogStateView {
-    /// Not read here.
+    /// The log is not read by this daemon.
     Unread,
-    /// All of it is in force.
+    /// All records are in force.
     CaughtUp,
-    /// There is more to read.
+    /// Records remain to be read.
     Behind,
     /// Records expired before they were read.
     Gap,
-    /// It ends before what is in force.
+    /// The log ends before the offset that is in force.
     Shorter,
 }
 
-/// What control costs a daemon.
+/// Resource usage of control in a daemon.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct ControlView {
-    /// Processor time, in millionths of a core.
+    /// CPU time in millionths of a core.
     pub cpu_ppm: u64,
-    /// Memory.
+    /// Memory usage.
     pub memory_bytes: Bytes,
-    /// Bytes sent a second.
+    /// Network send rate in bytes per second.
     pub sent_bytes_per_s: u64,
 }
 
 /// `/control/outcomes`.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct OutcomesView {
-    /// The daemon's host.
+    /// Host of the daemon.
     pub host: HostId,
-    /// Its life: counts begin anew with each.
+    /// Identifies the run of the daemon process; counts restart at zero with each run.
     pub incarnation: String,
-    /// Counts by partner and class.
+    /// Counts per partner and class.
     pub classes: Vec<ClassOutcomes>,
 }
 
-/// Counts of one class.
+/// Counts for one class.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct ClassOutcomes {
-    /// Whose class.
+    /// Partner that the class belongs to.
     pub partner: PartnerId,
-    /// The class.
+    /// Name of the class.
     pub class: ClassName,
     /// Requests that met all their targets.
     pub goodput: u64,
-    /// Prompt tokens that were prefilled.
+    /// Number of prefilled prompt tokens.
     pub prefill_tokens: Tokens,
     /// Finished requests by outcome.
     pub outcomes: Vec<CountView>,
     /// Refused requests by reason.
     pub refusals: Vec<CountView>,
-    /// Further tries by reason.
+    /// Retries by reason.
     pub retries: Vec<CountView>,
-    /// Prefilled tokens that were thrown away or done again, by cause.
+    /// Prefilled tokens that were discarded or recomputed, by cause.
     pub wasted_prefill_tokens: Vec<CountView>,
 }
 
-/// A count with its label.
+/// Count for one label.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct CountView {
-    /// What was counted.
+    /// Label that was counted.
     pub label: String,
-    /// How often, or how much.
+    /// Number of events or units.
     pub count: u64,
 }
 
 /// `/control/why/REQUEST_ID`.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct RequestView {
-    /// The daemon's host.
+    /// Host of the daemon.
     pub host: HostId,
-    /// The request.
+    /// Id of the request.
     pub request_id: String,
-    /// Whose it was.
+    /// Partner that sent it; `None` when no token matched.
     pub partner: Option<PartnerId>,
-    /// Its class.
+    /// Class of the request; `None` when it could not be determined.
     pub class: Option<ClassName>,
-    /// How it ended.
+    /// Label of the outcome.
     pub outcome: String,
-    /// Why it was refused, if it was.
+    /// Refusal reason; `None` when the request was not refused.
     pub refusal: Option<String>,
-    /// When it came.
+    /// Arrival time on the wall clock, in milliseconds since the Unix epoch.
     pub came_at_unix_ms: u64,
-    /// How long it took.
+    /// Time from arrival to completion.
     pub took_ms: Millis,
-    /// What was done for it.
+    /// Processing steps in order.
     pub steps: Vec<StepView>,
 }
 
-/// One step of a request.
+/// One processing step of a request.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct StepView {
-    /// Time since the request came.
+    /// Time since arrival of the request.
     pub after_ms: Millis,
-    /// What was done.
+    /// Label of the action or its result.
     pub what: String,
-    /// Where.
+    /// Backend server involved, if any.
     pub server: Option<String>,
 }
 
 /// `/control/members`.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct MembersListView {
-    /// The daemon that sees it so.
+    /// Host of the daemon that reports this view.
     pub host: HostId,
-    /// Whether its neighbours hear it.
+    /// Whether neighbouring daemons receive its messages.
     pub is_heard: bool,
-    /// The daemons that it knows.
+    /// Daemons known to it.
     pub members: Vec<MemberView>,
 }
 
-/// One daemon as another sees it.
+/// State of one daemon as observed by another.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct MemberView {
-    /// Its host.
+    /// Host of the daemon.
     pub host: HostId,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentreId,
-    /// Its region.
+    /// Region of the host.
     pub region: RegionId,
-    /// Its life.
+    /// Identifies the run of the daemon process.
     pub incarnation: String,
-    /// Whether it lives.
+    /// Membership state.
     pub state: String,
 }
--- a/crates/router/src/operators/views/convert.rs
+++ b/crates/router/src/operators/views/convert.rs
@@ -1,4 +1,4 @@
-//! Makes the views from what the daemon holds.
+//! Conversions from the daemon's state to the views.
 
 use hibiscusvale_core::config::{
     ClassTarget, ConfigState, HistoryEntry, LogView, PartnerConfig, RejectReason, TargetKind,
@@ -13,7 +13,7 @@
     PartnerView, RequestView, StatusView, StepView, TargetView, UnattributedView, VerdictView,
 };
 use crate::metrics::{ClassTotals, Gauge, LabelCount};
-use crate::operators::{OperatorsParts, RequestRecord};
+use crate::operators::{OperatorSources, RequestRecord};
 
 impl From<ClassTarget> for TargetView {
     fn from(target: ClassTarget) -> Self {
@@ -91,9 +91,9 @@
 }
 
 impl ConfigView {
-    /// What `state` holds, of all partners or of one.
-    pub fn new(host: &HostId, state: &ConfigState, only: Option<&PartnerId>) -> Self {
-        let partners = state.partners().filter(|(partner, _)| only.is_none_or(|only| only == *partner));
+    /// View of `state`, limited to one partner when `filter` is given.
+    pub fn new(host: &HostId, state: &ConfigState, filter: Option<&PartnerId>) -> Self {
+        let partners = state.partners().filter(|(partner, _)| filter.is_none_or(|wanted| wanted == *partner));
         Self {
             host: host.clone(),
             is_known: state.is_known(),
@@ -117,17 +117,17 @@
 }
 
 impl StatusView {
-    /// How a daemon stands.
-    pub fn new(parts: &OperatorsParts) -> Self {
-        let status = **parts.config.status.load();
-        let gauge = |gauge| parts.metrics.gauge(gauge);
+    /// Current status of the daemon.
+    pub fn new(sources: &OperatorSources) -> Self {
+        let status = **sources.config.status.load();
+        let gauge = |gauge| sources.metrics.gauge(gauge);
         let state = format!("{:016x}", u64::from_be_bytes(status.state.0));
         Self {
-            host: parts.host.id.clone(),
-            data_centre: parts.host.data_centre.clone(),
-            region: parts.host.region.clone(),
-            incarnation: parts.incarnation.to_string(),
-            ready: parts.readiness.state().as_str().to_owned(),
+            host: sources.host.id.clone(),
+            data_centre: sources.host.data_centre.clone(),
+            region: sources.host.region.clone(),
+            incarnation: sources.incarnation.to_string(),
+            ready: sources.readiness.state().as_str().to_owned(),
             next_offset: status.next_offset,
             state,
             log: status.log_view.into(),
@@ -135,7 +135,7 @@
             is_reader: status.is_reader,
             config_age_ms: Millis(gauge(Gauge::ConfigAgeMs)),
             checkpoint: status.checkpoint.map(|checkpoint| checkpoint.offset),
-            hosts_live: parts.members.load().all().filter(|member| member.is_eligible()).count() as u64,
+            hosts_live: sources.members.load().all().filter(|member| member.is_eligible()).count() as u64,
             requests_in_flight: gauge(Gauge::RequestsInFlight),
             requests_queued: gauge(Gauge::RequestsQueued),
             control: ControlView {
@@ -168,7 +168,7 @@
 }
 
 impl RequestView {
-    /// What the daemon on `host` knows of a request.
+    /// View of a request that the daemon on `host` recorded.
     pub fn new(host: &HostId, record: &RequestRecord) -> Self {
         let steps = record.steps.iter().map(|step| StepView {
             after_ms: step.after_ms,
--- a/crates/router/src/relay/callers.rs
+++ b/crates/router/src/relay/callers.rs
@@ -217,7 +217,7 @@
     let fingerprint = fingerprint(&parts, credentials.as_ref(), partner, &body);
     state.quarantine.admit(fingerprint).inspect_err(|refusal| {
         let left_ms = refusal.retry_after_ms.unwrap_or_default();
-        state.log.refused_in_quarantine(&call.id, fingerprint, left_ms);
+        state.log.request_refused_in_quarantine(&call.id, fingerprint, left_ms);
     })?;
     let charged = charge(state, &call, partner).await?;
     let waited_ms = state.caller_waits.lock().estimate(clock::now(), &route.name, call.wait_ms);
@@ -277,7 +277,7 @@
     let credit = quota.cost(tokens);
     let charged = state.quotas.charge(state, &QuotaOwner::Partner(partner.clone()), credit).await;
     if let Err(refusal) = &charged {
-        state.log.refused_by_quota(&call.id, partner, refusal.reason, credit);
+        state.log.request_refused_by_quota(&call.id, partner, refusal.reason, credit);
     }
     charged.map(|()| credit)
 }
--- a/crates/router/src/relay/daemon.rs
+++ b/crates/router/src/relay/daemon.rs
@@ -139,7 +139,7 @@
             log,
             metrics: RelayMetrics::new()?,
         });
-        state.log.changed("started", &incarnation);
+        state.log.state_changed("started", &incarnation);
         let address = settings.listen.callers;
         let socket = callers::bind(address).map_err(|source| StartError::Listen { address, source })?;
         let callers_address = socket.local_addr().map_err(|source| StartError::Listen { address, source })?;
@@ -223,7 +223,7 @@
                 *self.state.bounds.lock() = settings.bounds.clone();
                 self.state.share_budget();
                 self.state.configure_quotas();
-                self.state.log.changed("settings reloaded", &settings.host.id);
+                self.state.log.state_changed("settings reloaded", &settings.host.id);
                 self.settings = settings;
             }
             Err(error) => self.state.log.fault("settings not reloaded", &error),
@@ -234,7 +234,7 @@
     /// open requests run to their end, all within the grace period.
     pub fn stop(self) {
         let Self { state, traffic, control, stop_listening, serving, settings, .. } = self;
-        state.log.changed("stopping", &state.open.load(Ordering::Relaxed));
+        state.log.state_changed("stopping", &state.open.load(Ordering::Relaxed));
         state.stopping.store(true, Ordering::Relaxed);
         let grace = settings.bounds.grace().saturating_sub(EXIT_RESERVE);
         let ended = traffic.block_on(async {
@@ -249,7 +249,7 @@
             .await
         });
         let left = state.open.load(Ordering::Relaxed);
-        state.log.changed(if ended.is_ok() { "stopped" } else { "stopped with open requests" }, &left);
+        state.log.state_changed(if ended.is_ok() { "stopped" } else { "stopped with open requests" }, &left);
         state.log.flush();
         control.shutdown_background();
         traffic.shutdown_background();
--- a/crates/router/src/relay/dependency.rs
+++ b/crates/router/src/relay/dependency.rs
@@ -21,14 +21,14 @@
     /// Records a failed or unanswered call.
     pub fn report_failure(&mut self, state: &RelayState, failure: &dyn Display) {
         if !std::mem::replace(&mut self.is_lost, true) {
-            state.log.changed(self.lost_text, failure);
+            state.log.state_changed(self.lost_text, failure);
         }
     }
 
     /// Records a successful call.
     pub fn report_success(&mut self, state: &RelayState) {
         if std::mem::take(&mut self.is_lost) {
-            state.log.changed(self.recovered_text, &"");
+            state.log.state_changed(self.recovered_text, &"");
         }
     }
 }
--- a/crates/router/src/relay/exchange.rs
+++ b/crates/router/src/relay/exchange.rs
@@ -57,17 +57,17 @@
     while let Err(failure) = register.announce(own.clone()).await {
         attempts += 1;
         if attempts == 1 {
-            state.log.changed("could not register", &failure);
+            state.log.state_changed("could not register", &failure);
         }
         tokio::time::sleep(with_jitter(REGISTER_RETRY)).await;
     }
-    state.log.changed("registered, failed tries before", &attempts);
+    state.log.state_changed("registered, failed tries before", &attempts);
     discover_daemons(&*register, first_start, &state).await;
     loop {
         let pause = REGISTER_PERIOD.max(Duration::from_secs(state.peers.registered() / REGISTER_READS_PER_S));
         tokio::time::sleep(pause).await;
         while let Err(failure) = register.entries().await.map(|entries| adopt_entries(&state, entries)) {
-            state.log.changed("register not read", &failure);
+            state.log.state_changed("register not read", &failure);
             tokio::time::sleep(with_jitter(REGISTER_RETRY)).await;
         }
     }
@@ -105,7 +105,7 @@
             JoiningStep::ReadRegistry => match register.entries().await {
                 Ok(entries) => return entries,
                 Err(failure) => {
-                    state.log.changed("register not read", &failure);
+                    state.log.state_changed("register not read", &failure);
                     joining.failed(clock::now(), rand::rng().random());
                 }
             },
@@ -188,7 +188,7 @@
             let _ = socket.send_to(&bytes, target).await;
         }
         for silent in state.peers.take_timed_out(Instant::now()) {
-            state.log.changed("daemon silent", &silent);
+            state.log.state_changed("daemon silent", &silent);
             loans::receive_spares(&silent, &Spares::new(), state);
             state.engine_hub.peer_gone(&silent);
         }
@@ -254,7 +254,7 @@
     match state.peers.receive(Instant::now(), from, &message) {
         Reception::Stale => return None,
         Reception::First => {
-            state.log.changed("daemon heard", &message.host);
+            state.log.state_changed("daemon heard", &message.host);
             state.share_budget();
             state.quotas.host_joined(&message.host);
         }
--- a/crates/router/src/relay/orders.rs
+++ b/crates/router/src/relay/orders.rs
@@ -129,7 +129,7 @@
             self.lease.read_back(clock::now(), &self.fold);
         }
         let held = self.lease.held(clock::now())?;
-        self.state.log.changed("lease won", &held.fencing);
+        self.state.log.state_changed("lease won", &held.fencing);
         Some(held)
     }
 
@@ -143,7 +143,7 @@
     async fn read(&mut self) -> Result<(), LogFailure> {
         let read = self.read_log().await;
         if let Err(failure) = &read {
-            self.state.log.changed("lease not read", failure);
+            self.state.log.state_changed("lease not read", failure);
             self.state.freshness.store_failed(clock::now());
             self.state.peers.schedule_message(Urgency::Soon);
         }
@@ -200,7 +200,7 @@
         let call = state.wire.order(&shift.server, &order);
         let answer = hop::send_call(&state, &shift.server, at, call, CALL_TIMEOUT).await;
         let status = answer.map(|(status, _)| status);
-        state.log.ordered(&shift.server, role_label(shift.role), order.fencing, &describe(status));
+        state.log.engine_ordered(&shift.server, role_label(shift.role), order.fencing, &describe(status));
         match status {
             Ok(StatusCode::PRECONDITION_FAILED) => self.lease = self.lease.without_lease(),
             // A conflict means that the engine is executing something else; a failed call, that it may be.
--- a/crates/router/src/relay/persistence.rs
+++ b/crates/router/src/relay/persistence.rs
@@ -38,7 +38,7 @@
         tokio::time::sleep(RETRY_PAUSE).await;
     };
     dependency.report_success(state);
-    state.log.changed("evidence restored", &saved.len());
+    state.log.state_changed("evidence restored", &saved.len());
     let mut expired = Vec::new();
     for evidence in saved {
         let fingerprint = evidence.fingerprint;
@@ -63,7 +63,7 @@
             match store.save(evidence).await {
                 Ok(()) => {
                     dependency.report_success(state);
-                    state.log.changed("evidence saved", &fingerprint);
+                    state.log.state_changed("evidence saved", &fingerprint);
                     break;
                 }
                 Err(failure) => dependency.report_failure(state, &failure),
--- a/crates/router/src/relay/state.rs
+++ b/crates/router/src/relay/state.rs
@@ -83,7 +83,7 @@
             first_event_ms: trace.first_event_ms(),
             longest_pause_ms: trace.longest_pause_ms(),
         });
-        self.state.log.relayed(RelayLine {
+        self.state.log.request_relayed(RelayLine {
             request_id: self.request_id,
             call: self.call.id.as_str(),
             route: &self.route.name,
--- a/crates/router/src/relay/state_transfer.rs
+++ b/crates/router/src/relay/state_transfer.rs
@@ -239,7 +239,7 @@
         watch::servers_changed(state, &before);
     }
     if is_table_newer || is_list_newer {
-        state.log.changed("learned from another daemon", &from);
+        state.log.state_changed("learned from another daemon", &from);
     }
     is_table_newer || is_list_newer
 }
--- a/crates/router/src/relay/watch.rs
+++ b/crates/router/src/relay/watch.rs
@@ -101,7 +101,7 @@
     if !state.table.load().is_replaced_by(&table) {
         return false;
     }
-    state.log.table_in_force(table.version().0);
+    state.log.routes_in_force(table.version().0);
     state.engine_hub.configure(&table);
     state.caller_waits.lock().retain(|route| table.has(route));
     state.table.store(Arc::new(table));
@@ -151,13 +151,13 @@
 fn apply_page(state: &RelayState, lapses: &mut ExpiredEntries, page: HostListPage) {
     let known = state.directory.listing();
     let (set, vanished) = match page.change {
-        HostListChange::Whole(hosts) if known.version == 0 => {
-            return state.directory.take(HostListPage { change: HostListChange::Whole(hosts), ..page });
+        HostListChange::Full(hosts) if known.version == 0 => {
+            return state.directory.take(HostListPage { change: HostListChange::Full(hosts), ..page });
         }
         // Ignore an empty list: a store that has lost its contents would take every server out of service at
         // once.
-        HostListChange::Whole(hosts) if hosts.is_empty() => return,
-        HostListChange::Whole(hosts) => {
+        HostListChange::Full(hosts) if hosts.is_empty() => return,
+        HostListChange::Full(hosts) => {
             let listed: BTreeSet<_> = hosts.iter().map(|host| host.id.clone()).collect();
             let vanished = known.servers.keys().filter(|id| !listed.contains(id)).cloned().collect();
             (hosts, vanished)
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -1,7 +1,7 @@
-//! Settings of a daemon, read from TOML and checked before anything starts.
+//! Settings of a daemon, read from TOML and validated before the daemon starts.
 //!
-//! [`Settings::load`] refuses unknown keys and values out of range with the key, the value, what is allowed
-//! and the line, so that a mistake stops one start instead of showing up under load.
+//! [`Settings::load`] rejects unknown keys and values out of range and reports the line, the key, the value and the
+//! allowed range, so a mistake prevents the start instead of showing up under load.
 
 pub(crate) mod check;
 mod error;
@@ -19,59 +19,59 @@
 pub use crate::settings::error::{SettingsError, SettingsProblem};
 pub use crate::settings::secret::{MacKey, PublishKey, TokenHash};
 
-/// All settings of one daemon.
+/// All settings of a daemon.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Who this daemon is.
+    /// Identity of this daemon.
     pub host: HostSettings,
-    /// Where it listens.
+    /// Listen addresses.
     pub listen: ListenSettings,
-    /// Where the platform's services are.
+    /// Addresses of the platform's services.
     pub platform: PlatformSettings,
-    /// The other daemons.
+    /// How to find and authenticate other daemons.
     pub peers: PeerSettings,
-    /// The organisations that send requests.
+    /// Organisations that send requests.
     #[serde(default)]
     pub partners: BTreeMap<PartnerId, PartnerSettings>,
-    /// Path prefixes of plain services.
+    /// Routes by path prefix to plain services.
     #[serde(default)]
     pub routes: Vec<RouteSettings>,
-    /// Bounds on what callers send.
+    /// Limits on callers' connections and requests.
     #[serde(default)]
     pub limits: LimitSettings,
-    /// Traffic threads.
+    /// Threads that serve traffic.
     #[serde(default)]
     pub traffic: TrafficSettings,
-    /// How configuration is read from the log and kept in it.
+    /// Reading of configuration from the log and checkpoints in it.
     #[serde(default)]
     pub config: ConfigSettings,
-    /// When engines change role and load models.
+    /// Timing of role changes and model loads of engines.
     #[serde(default)]
     pub shift: ShiftSettings,
-    /// What the daemon tells about itself.
+    /// Logging and request history.
     #[serde(default)]
     pub observe: ObserveSettings,
 }
 
 impl Settings {
-    /// Reads and checks the settings in the file at `path`.
+    /// Reads and validates the settings file at `path`.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] when the file cannot be read or says something that cannot stand.
+    /// [`SettingsError`] when the file cannot be read or is invalid.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         Self::parse(&read_text(path)?)
     }
 
-    /// Checks settings given as TOML text.
+    /// Parses and validates settings from TOML text.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::Invalid`] with every problem found.
+    /// [`SettingsError::Invalid`] with all problems found.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let settings: Self = parse_toml(text)?;
-        let problems = check::problems(&settings, text);
+        let problems = check::find_problems(&settings, text);
         if problems.is_empty() { Ok(settings) } else { Err(SettingsError::Invalid(problems)) }
     }
 }
@@ -80,16 +80,16 @@
 ///
 /// # Errors
 ///
-/// [`SettingsError::Read`].
+/// [`SettingsError::Read`] with the I/O error.
 pub fn read_text(path: &Path) -> Result<String, SettingsError> {
     std::fs::read_to_string(path).map_err(|source| SettingsError::Read { path: path.to_owned(), source })
 }
 
-/// Reads settings of one type from TOML text.
+/// Parses settings of one type from TOML text without range checks.
 ///
 /// # Errors
 ///
-/// [`SettingsError::Invalid`] with the line of what is not understood.
+/// [`SettingsError::Invalid`] with the position of the syntax error.
 pub fn parse_toml<Type>(text: &str) -> Result<Type, SettingsError>
 where
     Type: DeserializeOwned,
@@ -97,36 +97,36 @@
     toml::from_str(text).map_err(|error| SettingsError::Invalid(vec![error::syntax(text, &error)]))
 }
 
-/// Checks the settings file at `path` and does nothing else: `hibiscusvaled check FILE`.
+/// Validates the settings file at `path`, for `hibiscusvaled check FILE`.
 ///
 /// # Errors
 ///
-/// As [`Settings::load`].
+/// Same as [`Settings::load`].
 pub fn check(path: &Path) -> Result<(), SettingsError> {
     Settings::load(path).map(drop)
 }
 
-/// Who a daemon is.
+/// Identity of a daemon.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostSettings {
-    /// Name of the host; stays the same when the host is replaced under the same address.
+    /// Name of the host; unchanged when the host is replaced under the same address.
     pub id: HostId,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentreId,
-    /// Its region.
+    /// Region of the host.
     pub region: RegionId,
 }
 
-/// Addresses that a daemon listens on.
+/// Listen addresses of a daemon.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenSettings {
-    /// For callers, behind the platform's balancer.
+    /// Address for callers, behind the platform's load balancer.
     pub callers: SocketAddr,
-    /// For other daemons.
+    /// Address for other daemons.
     pub peers: SocketAddr,
-    /// For operators and scraping; not reachable by callers.
+    /// Address for operators and metrics scrapes; must not be reachable by callers.
     pub operators: SocketAddr,
 }
 
@@ -142,16 +142,16 @@
     pub weights: SocketAddr,
 }
 
-/// How to find and trust other daemons.
+/// Discovery and authentication of other daemons.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSettings {
-    /// Addresses to ask first; the host list and the peers themselves give the rest.
+    /// Addresses to contact first; further peers are learned from the host list and from peers.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// Key of the message authentication code, 64 hex digits, the same on all daemons.
     pub key: MacKey,
-    /// Time that a daemon gives itself after its start to meet others before it takes itself for the only one.
+    /// Time after the start for discovering peers before the daemon assumes that it is the only one.
     #[serde(default = "default_settle_ms")]
     pub settle_ms: Millis,
 }
@@ -160,43 +160,43 @@
     Millis(3_000)
 }
 
-/// What is known of a partner without the log.
+/// Credentials of a partner, which do not come from the log.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PartnerSettings {
-    /// BLAKE3 hashes of its bearer tokens, 64 hex digits each.
+    /// BLAKE3 hashes of the partner's bearer tokens, 64 hex digits each.
     pub token_hashes: Vec<TokenHash>,
-    /// Ed25519 key that its configuration records are signed with, 64 hex digits.
+    /// Ed25519 public key that verifies the partner's configuration records, 64 hex digits.
     pub publish_key: PublishKey,
 }
 
-/// Sends requests whose path starts with `prefix` to a plain service.
+/// Route for requests whose path starts with `prefix` to a plain service.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteSettings {
-    /// Start of the path.
+    /// Path prefix; starts with `/`.
     pub prefix: String,
     /// Name of the service in the host list.
     pub service: String,
 }
 
-/// Bounds on what callers send.
+/// Limits on callers' connections and requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LimitSettings {
-    /// Callers' connections at a time; more wait to be accepted.
+    /// Maximum number of callers' connections; further ones wait to be accepted.
     pub connections: usize,
-    /// Largest request body.
+    /// Maximum size of a request body.
     pub body_bytes: Bytes,
-    /// All request bodies held at a time; half of it is for one partner at most.
+    /// Maximum total size of buffered request bodies; one partner may use half of it at most.
     pub held_body_bytes: Bytes,
-    /// Largest request head.
+    /// Maximum size of a request head.
     pub head_bytes: Bytes,
-    /// Time for a request head to arrive.
+    /// Timeout for receiving a request head.
     pub head_timeout_ms: Millis,
-    /// Time for a request body to arrive.
+    /// Timeout for receiving a request body.
     pub body_timeout_ms: Millis,
-    /// Time for which a caller may take nothing of a streamed answer before it counts as gone.
+    /// Time without progress in sending a streamed response after which the caller is considered gone.
     pub stall_timeout_ms: Millis,
 }
 
@@ -214,13 +214,13 @@
     }
 }
 
-/// Threads that carry traffic.
+/// Threads that serve traffic.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TrafficSettings {
     /// Number of threads.
     pub threads: usize,
-    /// Time between readiness failing and the listener closing, for the balancer to notice.
+    /// Time between reporting not ready and closing the listener, so that the load balancer can react.
     pub ready_grace_ms: Millis,
 }
 
@@ -230,21 +230,19 @@
     }
 }
 
-/// How configuration is read from the log and kept in it.
+/// Reading of configuration from the log and checkpoints in it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ConfigSettings {
-    /// Daemons in each data centre that read the log themselves; the others get records from peers.
+    /// Number of daemons per data centre that read the log directly; the others receive records from peers.
     pub readers: usize,
-    /// Longest time that one read waits at the log for news.
+    /// Longest time that a read waits at the log for new records (long polling).
     pub poll_wait_ms: Millis,
-    /// Time that a new daemon waits for a peer's state before it believes that a log beginning at offset 0 is
-    /// all there is.
+    /// Time that a new daemon waits for a peer's state before it accepts a log that starts at offset 0 as complete.
     pub genesis_wait_ms: Millis,
-    /// Time after which the state is written to the log again. Keep it under a quarter of the time for which
-    /// the log keeps records.
+    /// Interval between checkpoints of the state in the log. Keep it below a quarter of the log's retention period.
     pub checkpoint_interval_ms: Millis,
-    /// Time that each further daemon waits before it writes the checkpoint that an earlier one should have.
+    /// Additional delay of each further daemon before it writes a checkpoint that the preceding one has not written.
     pub checkpoint_step_ms: Millis,
 }
 
@@ -260,14 +258,14 @@
     }
 }
 
-/// When engines change role and load models. The other limits of the planner are not for operators: they keep it
-/// from undoing its own work.
+/// Timing of role changes and model loads of engines. The planner's other limits are not configurable because they
+/// prevent oscillation.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ShiftSettings {
-    /// How long an imbalance must last before anything is done about it.
+    /// Time that an imbalance must persist before the planner reacts.
     pub hold_ms: Millis,
-    /// Pause after a shift, for its effect to show.
+    /// Delay after a shift so that its effect becomes visible.
     pub cooldown_ms: Millis,
 }
 
@@ -277,13 +275,13 @@
     }
 }
 
-/// What the daemon tells about itself.
+/// Logging and request history.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ObserveSettings {
-    /// Least severe level that is logged.
+    /// Minimum severity that is logged.
     pub log_level: LogLevel,
-    /// Finished requests that `hibiscusvale why` can still explain.
+    /// Number of finished requests kept for `hibiscusvale why`.
     pub recent_requests: usize,
 }
 
@@ -297,13 +295,13 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// Everything, each request's steps included.
+    /// Everything, including the steps of each request.
     Debug,
-    /// Each finished request, and what changes in the daemon.
+    /// Finished requests and state changes of the daemon.
     #[default]
     Info,
-    /// What an operator may want to look into.
+    /// Conditions that may need an operator's attention.
     Warn,
-    /// What an operator has to look into.
+    /// Conditions that need an operator's attention.
     Error,
 }
--- a/crates/router/src/settings/check.rs
+++ b/crates/router/src/settings/check.rs
@@ -1,7 +1,7 @@
-//! Ranges of the settings.
+//! Range checks of the settings.
 //!
-//! Each bound is there because a value outside it is a slip of the keyboard (seconds for milliseconds, a zero
-//! too many) whose effect would show only under load.
+//! Values outside these ranges are most likely typing errors (seconds given for milliseconds, an extra zero) whose
+//! effect would show only under load.
 
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
@@ -27,8 +27,8 @@
 const CHECKPOINT_STEP_MS: RangeInclusive<u64> = 100..=60_000;
 const RECENT_REQUESTS: RangeInclusive<u64> = 16..=65_536;
 
-/// Everything in `settings` that is out of range. `text` is where they were read from.
-pub(super) fn problems(settings: &Settings, text: &str) -> Vec<SettingsProblem> {
+/// Returns all problems in `settings`. `text` is their TOML source, used to find line numbers.
+pub(super) fn find_problems(settings: &Settings, text: &str) -> Vec<SettingsProblem> {
     let mut problems = Vec::new();
     check_numbers(settings, text, &mut problems);
     check_routes(settings, text, &mut problems);
@@ -59,12 +59,12 @@
         ("observe.recent_requests", observe.recent_requests as u64, RECENT_REQUESTS),
     ];
     for (key, value, range) in numbers {
-        let (least, most) = range.into_inner();
-        check_number(text, key, value as f64, least as f64..=most as f64, problems);
+        let (min, max) = range.into_inner();
+        check_number(text, key, value as f64, min as f64..=max as f64, problems);
     }
 }
 
-/// Notes a number outside its range, or that is none.
+/// Reports a number that is outside its range or NaN.
 pub(crate) fn check_number(
     text: &str,
     key: &str,
@@ -73,11 +73,11 @@
     problems: &mut Vec<SettingsProblem>,
 ) {
     if !range.contains(&value) {
-        let (least, most) = range.into_inner();
+        let (min, max) = range.into_inner();
         problems.push(SettingsProblem {
             line: line_of(text, key),
             key: key.to_owned(),
-            fault: SettingsFault::OutOfRange { value, least, most },
+            fault: SettingsFault::OutOfRange { value, min, max },
         });
     }
 }
@@ -85,7 +85,7 @@
 fn check_routes(settings: &Settings, text: &str, problems: &mut Vec<SettingsProblem>) {
     for (index, route) in settings.routes.iter().enumerate() {
         if !route.prefix.starts_with('/') {
-            problems.push(form(
+            problems.push(form_problem(
                 text,
                 format!("routes.{index}.prefix"),
                 &route.prefix,
@@ -93,20 +93,20 @@
             ));
         }
         if route.service.is_empty() {
-            problems.push(form(text, format!("routes.{index}.service"), "", "the name of a service"));
+            problems.push(form_problem(text, format!("routes.{index}.service"), "", "the name of a service"));
         }
     }
 }
 
 fn check_partners(settings: &Settings, text: &str, problems: &mut Vec<SettingsProblem>) {
-    let mut holders = BTreeMap::<TokenHash, &str>::new();
+    let mut partner_by_hash = BTreeMap::<TokenHash, &str>::new();
     for (partner, PartnerSettings { token_hashes, .. }) in &settings.partners {
         let key = format!("partners.{partner}.token_hashes");
         if token_hashes.is_empty() {
-            problems.push(form(text, key.clone(), "[]", "at least one hash"));
+            problems.push(form_problem(text, key.clone(), "[]", "at least one hash"));
         }
         for hash in token_hashes {
-            let Some(other) = holders.insert(*hash, partner.as_str()) else {
+            let Some(other) = partner_by_hash.insert(*hash, partner.as_str()) else {
                 continue;
             };
             if other != partner.as_str() {
@@ -120,7 +120,7 @@
     }
 }
 
-fn form(text: &str, key: String, value: &str, allowed: &'static str) -> SettingsProblem {
+fn form_problem(text: &str, key: String, value: &str, allowed: &'static str) -> SettingsProblem {
     SettingsProblem {
         line: line_of(text, &key),
         fault: SettingsFault::Form { value: value.to_owned(), allowed },
@@ -128,7 +128,7 @@
     }
 }
 
-/// Line of the value with the dotted `key`, or 0 when the file leaves it to the default.
+/// Line of the value of the dotted `key`, or 0 when the file does not set it.
 fn line_of(text: &str, key: &str) -> usize {
     let Ok(root) = DeTable::parse(text) else {
         return 0;
--- a/crates/router/src/settings/error.rs
+++ b/crates/router/src/settings/error.rs
@@ -1,67 +1,69 @@
-//! What can be wrong with a settings file, with the place where it is.
+//! Errors in settings files with their position.
 
 use std::fmt;
 use std::io;
 use std::path::PathBuf;
 
-/// Settings that cannot be used.
+/// Failure to load settings.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file could not be read.
-    #[error("could not read settings {}", path.display())]
+    #[error("could not read settings file {}", path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Cause of the failure.
         source: io::Error,
     },
-    /// The file says something that cannot stand.
-    #[error("settings cannot be used:{}", ListOf(.0))]
+    /// The file is not valid.
+    #[error("invalid settings:{}", ProblemList(.0))]
     Invalid(Vec<SettingsProblem>),
 }
 
-/// One thing that is wrong, and where. Values of secret keys never appear in it.
+/// One problem and its position. It never contains values of secret keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingsProblem {
-    /// Line in the file, from 1; 0 when the key is missing altogether.
+    /// Line in the file, from 1; 0 when the key does not occur.
     pub line: usize,
-    /// Dotted name of the key, as far as known.
+    /// Dotted name of the key; empty when unknown.
     pub key: String,
-    /// What is wrong with it, and what is allowed.
+    /// Kind of the problem with the allowed values.
     pub fault: SettingsFault,
 }
 
-/// What is wrong with one key.
+/// Kind of a settings problem.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsFault {
     /// Not TOML, an unknown key, a missing key or a value of another type.
     #[error("{message}")]
     Syntax {
-        /// The parser's words, which name the keys that are allowed.
+        /// Message of the parser, which names the allowed keys.
         message: String,
     },
     /// A number outside its range.
-    #[error("is {value}, allowed is {least} to {most}")]
+    #[error("is {value}, allowed is {min} to {max}")]
     OutOfRange {
-        /// What the file says.
+        /// Value in the file.
         value: f64,
-        /// Smallest allowed value.
-        least: f64,
-        /// Largest allowed value.
-        most: f64,
+        /// Minimum allowed value.
+        min: f64,
+        /// Maximum allowed value.
+        max: f64,
     },
-    /// A text of another form.
+    /// A string of the wrong form.
     #[error("is {value:?}, allowed is {allowed}")]
     Form {
-        /// What the file says.
+        /// Value in the file.
         value: String,
-        /// What it has to look like.
+        /// Description of the allowed form.
         allowed: &'static str,
     },
-    /// Two partners with one bearer token could not be told apart.
-    #[error("lists a token hash that partner {other} lists too, each partner needs tokens of its own")]
+    /// Two partners share a bearer token, so their callers could not be told apart.
+    #[error(
+        "contains a token hash that is also listed for partner {other}; each partner needs its own tokens"
+    )]
     SharedToken {
-        /// The other partner.
+        /// Other partner that lists the hash.
         other: String,
     },
 }
@@ -78,22 +80,22 @@
     }
 }
 
-struct ListOf<'a>(&'a [SettingsProblem]);
+struct ProblemList<'a>(&'a [SettingsProblem]);
 
-impl fmt::Display for ListOf<'_> {
+impl fmt::Display for ProblemList<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.iter().try_for_each(|problem| write!(f, "\n  {problem}"))
     }
 }
 
-/// Line, from 1, of the byte at `position`.
+/// Line number, from 1, of the byte at `position`.
 pub(super) fn line_at(text: &str, position: usize) -> usize {
     let end = position.min(text.len());
     text[..text.floor_char_boundary(end)].matches('\n').count() + 1
 }
 
-/// Turns the parser's error into a problem. The parser's own display quotes the line, which may hold a secret,
-/// so only its message and place are kept, and the key read from the left of the line.
+/// Converts a parser error. The parser's display quotes the source line, which may contain a secret, so only its
+/// message and position are kept, with the key from the left side of the line.
 pub(super) fn syntax(text: &str, error: &toml::de::Error) -> SettingsProblem {
     let line = error.span().map_or(0, |span| line_at(text, span.start));
     let source_line = line.checked_sub(1).and_then(|index| text.lines().nth(index)).unwrap_or_default();
--- a/crates/router/src/settings/secret.rs
+++ b/crates/router/src/settings/secret.rs
@@ -1,5 +1,5 @@
-//! Keys and hashes in the settings. Each prints as its kind only, so that a logged settings struct or error
-//! gives nothing away.
+//! Keys and hashes in the settings. Their `Debug` output shows only the type name, so that logged settings and errors
+//! do not leak them.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,7 +8,7 @@
 
 const KEY_BYTES: usize = 32;
 
-/// A text that is not 64 hexadecimal digits. The text itself is not kept.
+/// Error for a string that is not 64 hexadecimal digits. It does not contain the string.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("must be {} hexadecimal digits", KEY_BYTES * 2)]
 pub struct ParseKeyError;
@@ -61,20 +61,20 @@
 }
 
 hex_key!(
-    /// Key of the message authentication code between daemons. Secret.
+    /// Secret key of the message authentication code between daemons.
     MacKey
 );
 hex_key!(
-    /// BLAKE3 hash of a bearer token. The token cannot be had from it; it stays out of logs all the same.
+    /// BLAKE3 hash of a bearer token. It does not reveal the token, but is kept out of logs anyway.
     TokenHash
 );
 hex_key!(
-    /// Public Ed25519 key of a partner.
+    /// Ed25519 public key that verifies a partner's configuration records.
     PublishKey
 );
 
 impl TokenHash {
-    /// Hash of the bearer token `token`.
+    /// Computes the hash of a bearer token.
     pub fn of(token: &str) -> Self {
         Self(*blake3::hash(token.as_bytes()).as_bytes())
     }
--- a/crates/router/src/watcher.rs
+++ b/crates/router/src/watcher.rs
@@ -29,8 +29,8 @@
 use crate::directory::{BackendKind, BackendServer, Directory, Listing};
 use crate::dispatch::{Hub, PlainHub, Releases};
 use crate::external::{EngineRole, ListedState};
-use crate::figures;
 use crate::metrics::Metrics;
+use crate::metrics_reporter;
 use crate::peer::{PeerBody, PeerLink};
 
 /// Least time between two load reports of a watched engine. Grants are counted exactly; reports only find what no
@@ -280,7 +280,7 @@
         let mut counted = HashMap::with_capacity(self.counted.len());
         for (server, ledger) in self.ledgers.servers().filter_map(|id| Some((id, self.ledgers.ledger(id)?))) {
             let (before, now) = (self.counted.remove(server).unwrap_or_default(), ledger.counters());
-            figures::count_ledger(&self.parts.metrics, before, now);
+            metrics_reporter::count_ledger(&self.parts.metrics, before, now);
             counted.insert(server.clone(), now);
         }
         self.counted = counted;
--- a/crates/router/tests/ops/config.rs
+++ b/crates/router/tests/ops/config.rs
@@ -1,4 +1,4 @@
-//! The configuration service between log, peers and traffic, in paused time.
+//! Tests of the configuration service with an in-memory log and simulated peers, in paused time.
 
 use std::sync::Arc;
 
@@ -43,7 +43,7 @@
     Record::Change(body.sign(&nadifa(), ChangeId(change_id), &key())).encode()
 }
 
-/// A daemon's configuration service with the ends that others hold.
+/// Configuration service of a daemon with the channel ends that its peers and traffic hold.
 pub struct Host {
     pub handle: ConfigHandle,
     pub feed: mpsc::Sender<ConfigFeed>,
@@ -88,12 +88,12 @@
 }
 
 impl Host {
-    pub async fn reached(&mut self, next_offset: u64) {
-        let reached = self.handle.version.wait_for(|version| version.0 >= next_offset).await;
-        reached.expect("the service runs");
+    pub async fn wait_for_offset(&mut self, next_offset: u64) {
+        let result = self.handle.version.wait_for(|version| version.0 >= next_offset).await;
+        result.expect("the service runs");
     }
 
-    pub async fn ready(&mut self) {
+    pub async fn wait_until_ready(&mut self) {
         self.handle.is_ready.wait_for(|is_ready| *is_ready).await.expect("the service runs");
     }
 
@@ -105,8 +105,8 @@
         }
     }
 
-    /// The next state that the service hands to its peers.
-    async fn provided_state(&mut self) -> ConfigFeed {
+    /// Requests the state and returns the next one that the service sends to its peers.
+    async fn provide_state(&mut self) -> ConfigFeed {
         self.feed.send(ConfigFeed::ProvideState).await.expect("the service runs");
         let requests = self.spread.as_mut().expect("a host with peers");
         loop {
@@ -118,7 +118,7 @@
     }
 }
 
-fn relayed(offset: u64, bytes: &[u8]) -> ConfigFeed {
+fn records_feed(offset: u64, bytes: &[u8]) -> ConfigFeed {
     ConfigFeed::Records(vec![ConfigRecord {
         offset: Offset(offset),
         data: RecordData::Full(Arc::from(bytes)),
@@ -126,78 +126,78 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_change_in_the_log_comes_into_force() {
+async fn applies_changes_from_the_log() {
     let log = MemoryLog::new();
     let mut host = start(&log, false);
     log.push(change(1, None, 9_000));
-    host.reached(1).await;
+    host.wait_for_offset(1).await;
     assert_eq!(host.first_token_ms(), Some(9_000));
-    host.ready().await;
+    host.wait_until_ready().await;
     log.push(change(2, Some(0), 5_000));
-    host.reached(2).await;
+    host.wait_for_offset(2).await;
     assert_eq!(host.first_token_ms(), Some(5_000));
 }
 
-/// The log is down. What is in force stays in force, and what was published before the outage is there when it
-/// ends, without anybody doing anything.
+/// During a log outage the configuration in force must stay in force, and changes published meanwhile must be applied
+/// when the outage ends, without intervention.
 #[tokio::test(start_paused = true)]
-async fn an_outage_of_the_log_changes_nothing() {
+async fn log_outage_keeps_configuration_in_force() {
     let log = MemoryLog::new();
     let mut host = start(&log, false);
     log.push(change(1, None, 9_000));
-    host.reached(1).await;
+    host.wait_for_offset(1).await;
     log.set_down(true);
     tokio::time::advance(std::time::Duration::from_hours(4)).await;
     assert_eq!(host.first_token_ms(), Some(9_000));
     log.push(change(2, Some(0), 5_000));
     log.set_down(false);
-    host.reached(2).await;
+    host.wait_for_offset(2).await;
     assert_eq!(host.first_token_ms(), Some(5_000));
 }
 
-/// The log is down for hours and the host is replaced. The new one starts from a peer and serves by what the
-/// peer serves by; without it every caller would hear that its class is unknown.
+/// A host is replaced during a log outage. The new daemon must take its state from a peer; without it every request
+/// would be refused for an unknown class.
 #[tokio::test(start_paused = true)]
-async fn a_host_that_starts_without_the_log_takes_a_peers_state() {
+async fn start_without_log_takes_state_from_peer() {
     let log = MemoryLog::new();
     let mut old = start(&log, true);
     old.feed.send(ConfigFeed::ReadLog(true)).await.expect("the service runs");
     log.push(change(1, None, 9_000));
-    old.reached(1).await;
+    old.wait_for_offset(1).await;
     log.set_down(true);
-    let state = old.provided_state().await;
+    let state = old.provide_state().await;
 
     let mut new = start(&log, true);
     new.feed.send(state).await.expect("the service runs");
-    new.ready().await;
+    new.wait_until_ready().await;
     assert_eq!(new.first_token_ms(), Some(9_000));
 }
 
-/// Most daemons do not read the log. Records reach them through relays, and they ask the log for nothing.
+/// Most daemons do not read the log. They receive records from peers, possibly out of order, and send no reads.
 #[tokio::test(start_paused = true)]
-async fn a_daemon_that_does_not_read_the_log_lives_on_relays() {
+async fn non_reader_applies_records_from_peers() {
     let log = MemoryLog::new();
     log.set_down(true);
     let mut host = start(&log, true);
     let second = change(2, Some(0), 5_000);
-    host.feed.send(relayed(1, &second)).await.expect("the service runs");
-    host.feed.send(relayed(0, &change(1, None, 9_000))).await.expect("the service runs");
-    host.reached(2).await;
+    host.feed.send(records_feed(1, &second)).await.expect("the service runs");
+    host.feed.send(records_feed(0, &change(1, None, 9_000))).await.expect("the service runs");
+    host.wait_for_offset(2).await;
     assert_eq!(host.first_token_ms(), Some(5_000));
-    host.ready().await;
+    host.wait_until_ready().await;
     let status = **host.handle.status.load();
     assert_eq!((status.is_reader, status.log_view), (false, LogView::Unread));
 }
 
-/// A reader passes on what it reads, or the daemons that do not read would never see it.
+/// A reader must forward records to its peers; daemons that do not read the log have no other source.
 #[tokio::test(start_paused = true)]
-async fn a_reader_hands_records_to_its_peers() {
+async fn reader_forwards_records_to_peers() {
     let log = MemoryLog::new();
     let mut host = start(&log, true);
     host.feed.send(ConfigFeed::ReadLog(true)).await.expect("the service runs");
     let record = change(1, None, 9_000);
     log.push(record.clone());
-    host.reached(1).await;
+    host.wait_for_offset(1).await;
     let first = host.spread.as_mut().expect("peers").recv().await.expect("a request");
     let SpreadEvent::LogRecords(records) = first else {
         panic!("expected the record, got {first:?}");
@@ -205,67 +205,67 @@
     assert_eq!(records, [ConfigRecord { offset: Offset(0), data: RecordData::Full(Arc::from(record)) }]);
 }
 
-/// Records expire after a while. If nobody wrote the state again, a new host would find an empty log.
+/// Records expire after the retention period. Without checkpoints a new host would find an empty log.
 #[tokio::test(start_paused = true)]
-async fn a_checkpoint_is_written_before_records_expire() {
+async fn writes_checkpoint_before_records_expire() {
     let log = MemoryLog::new();
     let mut host = start(&log, true);
     host.feed.send(ConfigFeed::ReadLog(true)).await.expect("the service runs");
     log.push(change(1, None, 9_000));
-    host.reached(1).await;
-    log.reached(2).await;
+    host.wait_for_offset(1).await;
+    log.wait_for_appends(2).await;
     log.expire_all_but(1);
-    assert!(matches!(Record::decode(&log.all()[0]), Ok(Record::Checkpoint(_))));
+    assert!(matches!(Record::decode(&log.records()[0]), Ok(Record::Checkpoint(_))));
     let mut new = start(&log, false);
-    new.ready().await;
+    new.wait_until_ready().await;
     assert_eq!(new.first_token_ms(), Some(9_000));
 }
 
-/// All records expired in an outage and the log comes back empty. The hosts that know the state write it down
-/// at once, not only at the next turn.
+/// All records expired during an outage and the log comes back empty. Hosts that know the state must write a checkpoint
+/// at once instead of waiting for the next interval.
 #[tokio::test(start_paused = true)]
-async fn an_emptied_log_gets_a_checkpoint_at_once() {
+async fn writes_checkpoint_at_once_to_emptied_log() {
     let log = MemoryLog::new();
     let mut host = start(&log, true);
     host.feed.send(ConfigFeed::ReadLog(true)).await.expect("the service runs");
     log.push(change(1, None, 9_000));
-    host.reached(1).await;
+    host.wait_for_offset(1).await;
     log.expire_all_but(0);
     let before = tokio::time::Instant::now();
-    log.reached(2).await;
+    log.wait_for_appends(2).await;
     assert!(before.elapsed() < std::time::Duration::from_secs(10), "took {:?}", before.elapsed());
 }
 
-/// The platform restores its log from an older copy, and the last change is no longer in it. The daemon keeps it in
-/// force and shows what it sees of the log; going back would take a class from callers that use it.
+/// The platform restores its log from an older backup that lacks the last change. The daemon must keep the change in
+/// force and report the log as shortened; reverting would remove a class that callers use.
 #[tokio::test(start_paused = true)]
-async fn a_shortened_log_is_shown_and_takes_nothing_back() {
+async fn truncated_log_is_reported_and_reverts_nothing() {
     let log = MemoryLog::new();
     let mut host = start(&log, false);
     log.push(change(1, None, 9_000));
     log.push(change(2, Some(0), 5_000));
-    host.reached(2).await;
-    log.shorten(1);
-    let shown = async {
+    host.wait_for_offset(2).await;
+    log.truncate(1);
+    let reported = async {
         while host.handle.status.load().log_view != LogView::Shorter {
             tokio::time::sleep(std::time::Duration::from_millis(100)).await;
         }
     };
-    let shown = tokio::time::timeout(std::time::Duration::from_mins(1), shown).await;
-    assert_eq!(shown, Ok(()));
+    let reported = tokio::time::timeout(std::time::Duration::from_mins(1), reported).await;
+    assert_eq!(reported, Ok(()));
     assert_eq!(host.first_token_ms(), Some(5_000));
 }
 
-/// A peer, or somebody who pretends to be one, offers a state that no daemon sealed.
+/// A peer, or an attacker posing as one, offers a state without a valid seal.
 #[tokio::test(start_paused = true)]
-async fn a_state_of_nobody_is_not_adopted() {
+async fn rejects_state_without_valid_seal() {
     let log = MemoryLog::new();
     let mut host = start(&log, false);
     log.push(change(1, None, 9_000));
-    host.reached(1).await;
+    host.wait_for_offset(1).await;
     let forged = ConfigFeed::State { next_offset: Offset(99), data: Arc::from(vec![7_u8; 200]) };
     host.feed.send(forged).await.expect("the service runs");
     log.push(change(2, Some(0), 5_000));
-    host.reached(2).await;
+    host.wait_for_offset(2).await;
     assert_eq!(host.first_token_ms(), Some(5_000));
 }
--- a/crates/router/tests/ops/directory.rs
+++ b/crates/router/tests/ops/directory.rs
@@ -1,4 +1,5 @@
-//! The directory of backend servers follows a list that lags, changes in parts, and may lose its contents.
+//! Tests of the directory of backend servers against a host list that lags, changes incrementally and may lose its
+//! contents.
 
 use hibiscusvale::directory::Directory;
 use hibiscusvale::external::{HostListChange, HostListPage, ListedHost, ListedKind, ListedState};
@@ -32,10 +33,10 @@
     HostListPage { version, change }
 }
 
-fn known() -> Directory {
+fn directory_of_two() -> Directory {
     let directory = Directory::default();
     let entries = vec![plain("a", ListedState::Live), plain("b", ListedState::Live)];
-    directory.take(page(1, HostListChange::Whole(entries)));
+    directory.take(page(1, HostListChange::Full(entries)));
     directory
 }
 
@@ -46,36 +47,36 @@
 }
 
 #[test]
-fn a_change_touches_only_what_it_names() {
-    let directory = known();
+fn incremental_change_keeps_other_servers() {
+    let directory = directory_of_two();
     let change = HostListChange::Some { set: vec![plain("c", ListedState::Live)], remove: vec![id("a")] };
     directory.take(page(2, change));
     assert_eq!(names(&directory), ["b", "c"]);
     assert_eq!(directory.listing().version, 2);
 }
 
-/// The platform's list service is set up anew after a fault and answers with an empty list until hosts have
-/// registered. Were it believed, every caller would be refused although all servers run.
+/// After a fault the platform's list service restarts with an empty list until hosts have registered. If the directory
+/// adopted it, every request would be refused although all servers run.
 #[test]
-fn a_list_that_lost_its_contents_takes_no_server_away() {
-    let directory = known();
-    directory.take(page(9, HostListChange::Whole(Vec::new())));
+fn empty_list_removes_no_server() {
+    let directory = directory_of_two();
+    directory.take(page(9, HostListChange::Full(Vec::new())));
     assert_eq!(names(&directory), ["a", "b"]);
-    directory.take(page(1, HostListChange::Whole(vec![plain("b", ListedState::Live)])));
+    directory.take(page(1, HostListChange::Full(vec![plain("b", ListedState::Live)])));
     assert_eq!(names(&directory), ["b"]);
 }
 
-/// A server refuses work because it is leaving, while the list calls it live for some seconds more. New work sent
-/// there meanwhile would be refused or cut off.
+/// A leaving server refuses work while the list still reports it as live for some seconds. Requests sent to it in that
+/// time would be refused or cut off.
 #[test]
-fn a_sign_of_leaving_is_believed_over_the_list_until_it_runs_out() {
-    let directory = known();
+fn leaving_notice_overrides_list_until_it_expires() {
+    let directory = directory_of_two();
     let listing = directory.listing();
     let server = &listing.servers[&id("a")];
     let seen_us = MonoTime(1_000_000);
     assert!(directory.takes_work(seen_us, server));
     assert!(directory.note_leaving(seen_us, &server.id));
-    assert!(!directory.note_leaving(seen_us, &server.id), "seen twice, news once");
+    assert!(!directory.note_leaving(seen_us, &server.id), "a repeated notice is not new");
     assert!(!directory.takes_work(seen_us + Millis(5_000), server));
     assert!(directory.takes_work(seen_us + Millis(60_000), server));
 
--- a/crates/router/tests/ops/main.rs
+++ b/crates/router/tests/ops/main.rs
@@ -1,4 +1,4 @@
-//! Tests of settings, logs, metrics and the edges towards the platform and operators.
+//! Tests of settings, logs, metrics, the platform clients and the operator API.
 
 mod backend_http;
 mod config;
