--- a/crates/router/tests/ops/memory_log.rs
+++ b/crates/router/tests/ops/memory_log.rs
@@ -1,4 +1,4 @@
-//! A log in memory, behind the same trait as the real one.
+//! In-memory implementation of the log trait.
 
 use std::sync::Arc;
 
@@ -11,74 +11,74 @@
 use tokio::sync::watch;
 
 #[derive(Debug, Default)]
-struct Inner {
-    start: u64,
+struct State {
+    start_offset: u64,
     records: Vec<Bytes>,
     is_down: bool,
 }
 
-/// One stream, whatever the name asked for.
+/// Log with a single stream, which all stream names refer to.
 #[derive(Clone, Debug)]
 pub struct MemoryLog {
-    inner: Arc<Mutex<Inner>>,
+    state: Arc<Mutex<State>>,
     appended: Arc<watch::Sender<u64>>,
 }
 
 impl MemoryLog {
     pub fn new() -> Self {
-        Self { inner: Arc::default(), appended: Arc::new(watch::Sender::new(0)) }
+        Self { state: Arc::default(), appended: Arc::new(watch::Sender::new(0)) }
     }
 
     pub fn push(&self, record: Vec<u8>) -> Offset {
-        let mut inner = self.inner.lock();
-        inner.records.push(Bytes::from(record));
-        let next = inner.start + inner.records.len() as u64;
-        drop(inner);
+        let mut state = self.state.lock();
+        state.records.push(Bytes::from(record));
+        let next = state.start_offset + state.records.len() as u64;
+        drop(state);
         self.appended.send_replace(next);
         Offset(next - 1)
     }
 
     pub fn set_down(&self, is_down: bool) {
-        self.inner.lock().is_down = is_down;
+        self.state.lock().is_down = is_down;
         self.appended.send_modify(|_| ());
     }
 
-    /// Lets all records but the last `kept` expire.
+    /// Expires all records except the last `kept`.
     pub fn expire_all_but(&self, kept: usize) {
-        let mut inner = self.inner.lock();
-        let expired = inner.records.len() - kept;
-        inner.records.drain(..expired);
-        inner.start += expired as u64;
+        let mut state = self.state.lock();
+        let expired = state.records.len() - kept;
+        state.records.drain(..expired);
+        state.start_offset += expired as u64;
     }
 
-    /// Takes the last `count` records back, as a log does that is restored from an older copy.
-    pub fn shorten(&self, count: usize) {
-        let mut inner = self.inner.lock();
-        let kept = inner.records.len() - count;
-        inner.records.truncate(kept);
-        drop(inner);
+    /// Removes the last `count` records, as when a log is restored from an older backup.
+    pub fn truncate(&self, count: usize) {
+        let mut state = self.state.lock();
+        let kept = state.records.len() - count;
+        state.records.truncate(kept);
+        drop(state);
         self.appended.send_modify(|_| ());
     }
 
-    /// Waits until `count` records were appended over all time.
-    pub async fn reached(&self, count: u64) {
+    /// Waits until `count` records have been appended in total, expired ones included.
+    pub async fn wait_for_appends(&self, count: u64) {
         let mut appended = self.appended.subscribe();
-        appended.wait_for(|next| *next >= count).await.expect("the log lives as long as the test");
+        appended.wait_for(|next| *next >= count).await.expect("the log outlives the test");
     }
 
-    pub fn all(&self) -> Vec<Bytes> {
-        self.inner.lock().records.clone()
+    pub fn records(&self) -> Vec<Bytes> {
+        self.state.lock().records.clone()
     }
 
     fn page(&self, from: Offset) -> Result<LogPage, LogFailure> {
-        let inner = self.inner.lock();
-        if inner.is_down {
+        let state = self.state.lock();
+        if state.is_down {
             return Err(LogFailure::Down);
         }
-        let records = inner.records.iter().zip(inner.start..);
+        let records = state.records.iter().zip(state.start_offset..);
         Ok(LogPage {
-            start_offset: Offset(inner.start),
-            next_offset: Offset(inner.start + inner.records.len() as u64),
+            start_offset: Offset(state.start_offset),
+            next_offset: Offset(state.start_offset + state.records.len() as u64),
             records: records
                 .filter(|(_, offset)| *offset >= from.0)
                 .map(|(data, offset)| LogRecord { offset: Offset(offset), data: data.clone() })
@@ -90,7 +90,7 @@
 impl Log for MemoryLog {
     fn append(&self, _stream: Stream, records: Vec<Bytes>) -> BoxFuture<'_, Result<Offset, AppendError>> {
         Box::pin(async move {
-            if self.inner.lock().is_down {
+            if self.state.lock().is_down {
                 return Err(AppendError::NotAppended { cause: LogFailure::Down, retry_after_ms: None });
             }
             let mut offsets = records.into_iter().map(|record| self.push(record.to_vec()));
@@ -111,7 +111,7 @@
             if !page.records.is_empty() {
                 return Ok(page);
             }
-            // Running out of time is no news.
+            // A timeout returns the page without new records.
             let _ = tokio::time::timeout(wait_ms.into(), appended.changed()).await;
             self.page(from)
         })
--- a/crates/router/tests/ops/observe.rs
+++ b/crates/router/tests/ops/observe.rs
@@ -85,16 +85,16 @@
 fn scrape_contains_every_counter_with_its_labels() {
     let metrics = Metrics::new().expect("metrics");
     let summary = metrics.class(&partner("nadifa"), &class("summary"));
-    summary.finished(TestLabel::Answered);
-    summary.finished(TestLabel::Answered);
-    summary.refused(TestLabel::QueueFull);
-    summary.retried(TestLabel::Evicted);
-    summary.met_targets();
-    summary.prefilled(Tokens(500));
-    summary.wasted_prefill(TestLabel::Evicted, Tokens(40));
-    summary.first_token(Micros(30_000));
-    summary.per_token(Micros(12_000));
-    metrics.peer_dropped(TestLabel::Evicted, 1);
+    summary.record_outcome(TestLabel::Answered);
+    summary.record_outcome(TestLabel::Answered);
+    summary.record_refusal(TestLabel::QueueFull);
+    summary.record_retry(TestLabel::Evicted);
+    summary.record_goodput();
+    summary.record_prefill(Tokens(500));
+    summary.record_wasted_prefill(TestLabel::Evicted, Tokens(40));
+    summary.record_first_token(Micros(30_000));
+    summary.record_per_token(Micros(12_000));
+    metrics.count_peer_drops(TestLabel::Evicted, 1);
     metrics.set(Gauge::ControlSentBytesPerS, 77);
     let text = metrics.render();
     for expected in [
@@ -121,7 +121,7 @@
 fn class_series_are_bounded() {
     let metrics = Metrics::new().expect("metrics");
     for index in 0..MAX_CLASS_SERIES + 50 {
-        metrics.class(&partner("nadifa"), &class(&format!("c{index}"))).finished(TestLabel::Answered);
+        metrics.class(&partner("nadifa"), &class(&format!("c{index}"))).record_outcome(TestLabel::Answered);
     }
     let totals = metrics.totals();
     assert_eq!(totals.len(), MAX_CLASS_SERIES + 1);
--- a/crates/router/tests/ops/settings.rs
+++ b/crates/router/tests/ops/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files with mistakes in them.
+//! Tests of parsing and validating settings files.
 
 use hibiscusvale::settings::{LogLevel, Settings, SettingsError};
 use rstest::rstest;
@@ -32,7 +32,7 @@
     )
 }
 
-fn message_of(text: &str) -> String {
+fn error_message(text: &str) -> String {
     match Settings::parse(text) {
         Err(SettingsError::Invalid(problems)) => {
             problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
@@ -42,15 +42,15 @@
 }
 
 #[test]
-fn a_file_without_optional_sections_gets_the_defaults() {
+fn missing_optional_sections_use_defaults() {
     let settings = Settings::parse(&file_with("")).expect("valid");
     assert_eq!(settings.traffic.threads, 2);
     assert_eq!(settings.observe.log_level, LogLevel::Info);
     assert_eq!(settings.config.readers, 3);
 }
 
-/// An operator misspells a key or is out by a factor of a thousand. Without the check the daemon would run with
-/// the default, or with a limit that nobody meant, and show it only under load.
+/// An operator misspells a key or is off by a factor of a thousand. Without the checks the daemon would run with the
+/// default or an unintended limit, which would show only under load.
 #[rstest]
 #[case::unknown_key("[limits]\nbody_byte = 5\n", &["line 23", "body_byte", "body_bytes"])]
 #[case::unknown_section("[limit]\nbody_bytes = 5\n", &["line 22", "limit"])]
@@ -60,29 +60,29 @@
 #[case::no_such_level("[observe]\nlog_level = \"loud\"\n", &["line 23", "log_level", "warn"])]
 #[case::route("[[routes]]\nprefix = \"bookings\"\nservice = \"booking\"\n", &["line 23", "routes.0.prefix", "starts with /"])]
 #[case::not_toml("[limits\n", &["line 22"])]
-fn a_mistake_is_refused_with_key_value_range_and_line(#[case] extra: &str, #[case] expected: &[&str]) {
-    let message = message_of(&file_with(extra));
+fn reports_line_key_value_and_allowed_range(#[case] extra: &str, #[case] expected: &[&str]) {
+    let message = error_message(&file_with(extra));
     for part in expected {
         assert!(message.contains(part), "{part:?} is missing in {message:?}");
     }
 }
 
-/// Two partners list the same token. A caller with it could be taken for either, and one would pay for the
-/// other's work.
+/// Two partners list the same token. Its callers could not be told apart, and one partner would be charged for the
+/// other's requests.
 #[test]
-fn one_token_of_two_partners_is_refused() {
+fn rejects_token_shared_by_two_partners() {
     let extra = format!("[partners.registry]\ntoken_hashes = [\"{KEY}\"]\npublish_key = \"{KEY}\"\n");
-    let message = message_of(&file_with(&extra));
+    let message = error_message(&file_with(&extra));
     assert!(message.contains("partners.registry.token_hashes"), "{message}");
     assert!(message.contains("nadifa"), "{message}");
 }
 
-/// A key with a digit missing is refused; the refusal lands in a terminal or a log and must not carry the rest
-/// of the key with it.
+/// A key that lacks digits is rejected. The error message may reach a terminal or a log and must not contain the rest of
+/// the key.
 #[test]
-fn a_refused_secret_is_not_printed() {
+fn error_does_not_contain_rejected_key() {
     let short = &KEY[..62];
-    let message = message_of(
+    let message = error_message(
         &file_with("")
             .replace(&format!("key = \"{KEY}\"\n\n[partners"), &format!("key = \"{short}\"\n\n[partners")),
     );
@@ -91,9 +91,9 @@
     assert!(!message.contains(short), "{message}");
 }
 
-/// Somebody logs the whole settings struct while looking for a fault.
+/// The whole settings struct may be logged while debugging.
 #[test]
-fn debug_output_holds_no_secret() {
+fn debug_output_contains_no_secret() {
     let settings = Settings::parse(&file_with("")).expect("valid");
     let printed = format!("{settings:?}");
     assert!(printed.contains("MacKey(..)"), "{printed}");
--- a/crates/router/tests/unit/log_background.rs
+++ b/crates/router/tests/unit/log_background.rs
@@ -1,4 +1,4 @@
-//! Writing log lines beside the requests.
+//! Tests of the background log writer.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -9,17 +9,17 @@
 
 use super::BackgroundWriter;
 
-/// A reader that stands still until it is let go.
-struct Still {
-    go: Receiver<()>,
-    seen: Arc<Mutex<Vec<u8>>>,
+/// Target whose writes block until the test drops the sender of `resume`.
+struct BlockedTarget {
+    resume: Receiver<()>,
+    written: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for Still {
+impl Write for BlockedTarget {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        // Closed once the test lets it go.
-        let _ = self.go.recv();
-        self.seen.lock().extend_from_slice(buf);
+        // Fails at once after the test has dropped the sender.
+        let _ = self.resume.recv();
+        self.written.lock().extend_from_slice(buf);
         Ok(buf.len())
     }
 
@@ -28,32 +28,34 @@
     }
 }
 
-/// Whoever reads the log stands still and the pipe is full. Requests write on without waiting; what does not fit is left
-/// out, and once the reader goes on it is told how much.
+/// The reader of the log stalls and the pipe is full. Writes must not block; lines that do not fit are dropped, and the
+/// number of dropped bytes is written once the reader resumes.
 #[test]
-fn a_reader_that_stands_still_holds_nobody() {
-    let (release, go) = mpsc::channel();
-    let seen = Arc::new(Mutex::new(Vec::new()));
-    let mut writer = BackgroundWriter::start(Still { go, seen: Arc::clone(&seen) }).unwrap();
-    let begun = Instant::now();
+fn stalled_reader_does_not_block_writes() {
+    let (release, resume) = mpsc::channel();
+    let written = Arc::new(Mutex::new(Vec::new()));
+    let mut writer =
+        BackgroundWriter::start(BlockedTarget { resume, written: Arc::clone(&written) }).unwrap();
+    let started = Instant::now();
     for _ in 0..1_000 {
         writer.write_all(b"a line\n").unwrap();
     }
-    assert!(begun.elapsed() < Duration::from_secs(1), "{:?}", begun.elapsed());
+    assert!(started.elapsed() < Duration::from_secs(1), "{:?}", started.elapsed());
     drop(release);
-    while !String::from_utf8_lossy(&seen.lock()).contains("left out") {
-        assert!(begun.elapsed() < Duration::from_secs(20), "nothing was said");
+    while !String::from_utf8_lossy(&written.lock()).contains("left out") {
+        assert!(started.elapsed() < Duration::from_secs(20), "dropped lines were not reported");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 #[test]
-fn a_flush_waits_for_what_was_written() {
-    let (release, go) = mpsc::channel();
+fn flush_waits_for_queued_lines() {
+    let (release, resume) = mpsc::channel();
     drop(release);
-    let seen = Arc::new(Mutex::new(Vec::new()));
-    let mut writer = BackgroundWriter::start(Still { go, seen: Arc::clone(&seen) }).unwrap();
+    let written = Arc::new(Mutex::new(Vec::new()));
+    let mut writer =
+        BackgroundWriter::start(BlockedTarget { resume, written: Arc::clone(&written) }).unwrap();
     writer.write_all(b"the last line\n").unwrap();
     writer.flush().unwrap();
-    assert_eq!(seen.lock().as_slice(), b"the last line\n");
+    assert_eq!(written.lock().as_slice(), b"the last line\n");
 }
--- a/crates/router/tests/unit/log_budget.rs
+++ b/crates/router/tests/unit/log_budget.rs
@@ -1,17 +1,17 @@
-//! How many lines requests may write.
+//! Tests of the rate limit for log lines of requests.
 
 use hibiscusvale_core::units::MonoTime;
 
-use super::{LINES_PER_S, Line, LineBudget};
+use super::{LINES_PER_S, LineBudget, LineDecision};
 
-/// A storm of requests would have its lines take the processor from serving them. What is left out is counted and said
-/// with the next line.
+/// Guards against logging that takes CPU time from serving requests under heavy load. The number of dropped lines is
+/// reported with the next written line.
 #[test]
-fn a_storm_of_requests_writes_a_bounded_number_of_lines() {
+fn limits_lines_per_second_and_reports_dropped_lines() {
     let budget = LineBudget::default();
-    let lines = (0..1_000).map(|number| budget.take(MonoTime(number * 900)));
-    assert_eq!(lines.filter(|line| *line != Line::LeaveOut).count() as u64, LINES_PER_S);
+    let decisions = (0..1_000).map(|number| budget.take(MonoTime(number * 900)));
+    assert_eq!(decisions.filter(|decision| *decision != LineDecision::Drop).count() as u64, LINES_PER_S);
     let next = budget.take(MonoTime(1_500_000));
-    assert_eq!(next, Line::Write { left_out: 1_000 - LINES_PER_S });
-    assert_eq!(budget.take(MonoTime(1_500_001)), Line::Write { left_out: 0 });
+    assert_eq!(next, LineDecision::Write { left_out: 1_000 - LINES_PER_S });
+    assert_eq!(budget.take(MonoTime(1_500_001)), LineDecision::Write { left_out: 0 });
 }
--- a/crates/standins/tests/e2e/config.rs
+++ b/crates/standins/tests/e2e/config.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hibiscusvale::daemon::{Daemon, Edges, new_incarnation};
-use hibiscusvale::operators::OperatorsClient;
+use hibiscusvale::operators::OperatorClient;
 use hibiscusvale::operators::views::{ConfigView, StatusView, TargetView};
 use hibiscusvale_core::config::{ClassTarget, Record};
 use hibiscusvale_core::units::Millis;
@@ -26,7 +26,7 @@
 
 /// Waits until the class `booking` has this target on the daemon.
 async fn in_force(daemon: &Daemon, response_ms: u64) {
-    let client = OperatorsClient::default();
+    let client = OperatorClient::default();
     let wanted = TargetView::Plain { response_ms: Millis(response_ms) };
     let seen = async {
         loop {
@@ -46,7 +46,7 @@
 }
 
 async fn status(address: SocketAddr) -> StatusView {
-    OperatorsClient::default().view(address, "/control/status").await.expect("a view")
+    OperatorClient::default().view(address, "/control/status").await.expect("a view")
 }
 
 async fn assert_serves(daemon: &Daemon) {
--- a/crates/standins/tests/e2e/leaving.rs
+++ b/crates/standins/tests/e2e/leaving.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use hibiscusvale::daemon::Daemon;
-use hibiscusvale::operators::OperatorsClient;
+use hibiscusvale::operators::OperatorClient;
 use hibiscusvale::operators::views::OutcomesView;
 use hibiscusvale_standins::Steer;
 use hibiscusvale_standins::client::call;
@@ -20,7 +20,7 @@
 
 /// Further tries that the daemon made because a server said that it leaves.
 async fn retries_for_leaving(daemon: &Daemon) -> u64 {
-    let client = OperatorsClient::default();
+    let client = OperatorClient::default();
     let view: OutcomesView =
         client.view(daemon.operators_address(), "/control/outcomes").await.expect("view");
     let retries = view.classes.iter().flat_map(|class| &class.retries);
--- a/crates/standins/tests/e2e/path.rs
+++ b/crates/standins/tests/e2e/path.rs
@@ -1,7 +1,7 @@
 //! One request of each kind from start to finish.
 
 use bytes::Bytes;
-use hibiscusvale::operators::OperatorsClient;
+use hibiscusvale::operators::OperatorClient;
 use hibiscusvale::operators::views::{OutcomesView, RequestView};
 use hibiscusvale_standins::Steer;
 use hibiscusvale_standins::text;
@@ -119,7 +119,7 @@
         let outcomes = view.classes.iter().flat_map(|class| &class.outcomes);
         outcomes.filter(|count| count.label == "caller-left").map(|count| count.count).sum::<u64>()
     };
-    let client = OperatorsClient::default();
+    let client = OperatorClient::default();
     let view = || client.view::<OutcomesView>(daemon.operators_address(), "/control/outcomes");
     while view().await.expect("view").classes.is_empty() {
         tokio::task::yield_now().await;
@@ -145,7 +145,7 @@
     assert_eq!(answer.outcome(), "not-run", "{}", answer.body);
 
     let id = answer.headers["x-request-id"].to_str().expect("text");
-    let client = OperatorsClient::default();
+    let client = OperatorClient::default();
     let why: RequestView =
         client.view(daemon.operators_address(), &format!("/control/why/{id}")).await.expect("view");
     assert_eq!(why.outcome, "not-run");
