--- a/crates/router/src/external/mod.rs
+++ b/crates/router/src/external/mod.rs
@@ -72,19 +72,19 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, thiserror::Error)]
 pub enum LogFailure {
     /// The service could not be reached.
-    #[error("service unreachable")]
+    #[error("not reachable")]
     Unreachable,
     /// The log reported that it is unavailable.
     #[error("down")]
     Down,
     /// The log reported that its rate limit is exceeded.
-    #[error("log rate limit exceeded")]
+    #[error("over its rate")]
     OverRate,
     /// The service did not respond in time.
-    #[error("no response in time")]
+    #[error("no answer in time")]
     Timeout,
     /// The response does not match the interface.
-    #[error("malformed response")]
+    #[error("answer not understood")]
     Malformed,
 }
 
--- a/crates/router/src/operators/listener.rs
+++ b/crates/router/src/operators/listener.rs
@@ -116,7 +116,7 @@
 
 fn handle(sources: &OperatorSources, request: &Request<Incoming>) -> HttpResponse {
     if request.method() != Method::GET {
-        return text(StatusCode::METHOD_NOT_ALLOWED, "only GET is supported\n");
+        return text(StatusCode::METHOD_NOT_ALLOWED, "only GET is answered here\n");
     }
     let path = request.uri().path();
     if let Some(id) = path.strip_prefix("/control/why/") {
@@ -130,7 +130,7 @@
         "/control/status" => json(&StatusView::new(sources)),
         "/control/outcomes" => json(&outcomes(sources)),
         "/control/members" => json(&members(sources)),
-        _ => text(StatusCode::NOT_FOUND, "view not found\n"),
+        _ => text(StatusCode::NOT_FOUND, "no such view\n"),
     }
 }
 
@@ -146,7 +146,7 @@
 fn config(sources: &OperatorSources, query: Option<&str>) -> HttpResponse {
     let partner = query.and_then(|query| query.strip_prefix("partner="));
     let Ok(only) = partner.map(str::parse::<PartnerId>).transpose() else {
-        return text(StatusCode::BAD_REQUEST, "invalid partner name\n");
+        return text(StatusCode::BAD_REQUEST, "partner is not a name\n");
     };
     json(&ConfigView::new(&sources.host.id, &sources.config.state.load(), only.as_ref()))
 }
@@ -170,11 +170,11 @@
 
 fn explain_request(sources: &OperatorSources, id: &str) -> HttpResponse {
     let Ok(request_id) = id.parse::<RequestId>() else {
-        return text(StatusCode::BAD_REQUEST, "invalid request id\n");
+        return text(StatusCode::BAD_REQUEST, "request id is not one\n");
     };
     match sources.recent.find(request_id) {
         Some(record) => json(&RequestView::new(&sources.host.id, &record)),
-        None => text(StatusCode::NOT_FOUND, "request not found among recent requests\n"),
+        None => text(StatusCode::NOT_FOUND, "request is not remembered here\n"),
     }
 }
 
@@ -184,7 +184,7 @@
 {
     match serde_json::to_vec(view) {
         Ok(encoded) => respond(StatusCode::OK, JSON, encoded.into()),
-        Err(_) => text(StatusCode::INTERNAL_SERVER_ERROR, "could not serialize view\n"),
+        Err(_) => text(StatusCode::INTERNAL_SERVER_ERROR, "view could not be written\n"),
     }
 }
 
