--- a/crates/router/src/watcher.rs
+++ b/crates/router/src/watcher.rs
@@ -1,8 +1,8 @@
-//! The watcher service: keeps the ledgers of the engines that this daemon watches, and tells the scheduler
-//! which engines there are and who watches them.
+//! The watcher service: maintains the slot ledgers of the engines watched by this daemon, and tells the scheduler
+//! which engines exist and who watches them.
 //!
-//! It lives on the control thread. Which daemon watches an engine follows from the membership view alone, so
-//! work moves by itself when a daemon goes.
+//! Runs on the control thread. Which daemon watches an engine is derived from the membership view alone, so
+//! engines are reassigned automatically when a daemon fails.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -33,106 +33,106 @@
 use crate::metrics_reporter;
 use crate::peer::{PeerBody, PeerLink};
 
-/// Least time between two load reports of a watched engine. Grants are counted exactly; reports only find what no
-/// ledger knows, such as the holdings of a daemon that died, so a second is soon enough.
-const REPORT_PERIOD_MS: Millis = Millis(1_000);
+/// Minimum time between two load reports of a watched engine. Grants are counted exactly; reports only detect
+/// memory that no ledger knows of, such as that of a daemon that died, so one second is enough.
+const MIN_READ_INTERVAL_MS: Millis = Millis(1_000);
 
-/// Time between two reads, each of the engine that was read longest ago. Control may send 4 KB a second: at the
-/// target a daemon watches some thirty engines, and reading all of them each second would take most of it. Eight
-/// reads a second take some 700 B, and each engine is read every four seconds there, every second where eight or
-/// fewer are watched.
-const READ_PERIOD: Duration = Duration::from_millis(125);
+/// Interval of engine reads; each one reads the engine that was read longest ago. Control may send 4 KB/s: at the
+/// design size a daemon watches about thirty engines, and reading all of them every second would use most of that.
+/// Eight reads a second take about 700 B, which reads each engine every four seconds there, and every second where
+/// eight or fewer are watched.
+const READ_INTERVAL: Duration = Duration::from_millis(125);
 
-/// Time between looks at grants that expire and servers that open again.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval of checks for expired grants and servers that become available again.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time between looks at what the ledgers have counted.
-const COUNT_PERIOD: Duration = Duration::from_secs(1);
+/// Interval at which the counters of the ledgers are exported.
+const COUNT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Servers in one announcement; it stays inside a frame with the longest names.
-const ANNOUNCED_AT_ONCE: usize = 256;
+/// Servers per announcement; with the longest names it still fits into a frame.
+const MAX_ANNOUNCED_SERVERS: usize = 256;
 
-/// What the watcher service takes in its inbox.
+/// Messages accepted by the watcher service.
 #[derive(Clone, Debug)]
 pub enum WatcherCommand {
-    /// A slot message for a server that this daemon watches, or is believed to.
+    /// A slot message for a server that this daemon watches, or is assumed to watch by the sender.
     Slot {
-        /// The daemon that sent it.
+        /// Host of the sender.
         from: HostId,
-        /// Its life.
+        /// Incarnation of the sender.
         incarnation: Incarnation,
-        /// What it says.
+        /// The message.
         message: SlotMessage,
     },
-    /// Some daemon saw that a server is leaving, or takes work again.
-    Sign(BackendServerId),
+    /// A daemon observed that this server is leaving, or accepts work again.
+    ServerSignal(BackendServerId),
 }
 
-/// What the service needs of the daemon around it.
+/// Dependencies of the watcher service.
 #[derive(Clone, Debug)]
 pub struct WatcherParts {
-    /// This daemon's host.
+    /// Host of this daemon.
     pub host: HostId,
-    /// Its region.
+    /// Region of this daemon.
     pub region: RegionId,
-    /// Who lives.
+    /// Membership view.
     pub members: Arc<ArcSwap<MembersView>>,
-    /// The backend servers.
+    /// Directory of backend servers.
     pub directory: Arc<Directory>,
-    /// The engines.
+    /// Client of the engines.
     pub engines: Arc<dyn EngineClient>,
-    /// The way to other daemons.
+    /// Link to other daemons.
     pub link: Arc<dyn PeerLink>,
-    /// This daemon's scheduler.
+    /// Scheduler of language requests.
     pub hub: Arc<Hub>,
-    /// This daemon's schedulers of plain services.
+    /// Schedulers of plain services.
     pub plain_hub: Arc<PlainHub>,
     /// Releases of engine memory.
     pub releases: Arc<Releases>,
-    /// Where it counts.
+    /// Metrics.
     pub metrics: Metrics,
 }
 
-/// What a watched engine answered.
+/// Response of a watched engine.
 #[derive(Debug)]
-struct Reported {
+struct EngineReport {
     server: BackendServerId,
-    asked_us: MonoTime,
-    news: News,
+    requested_us: MonoTime,
+    news: ReportContent,
 }
 
 #[derive(Debug)]
-enum News {
+enum ReportContent {
     Load(EngineLoad),
     Cache(CachePage),
 }
 
-/// The watcher service.
+/// Maintains the ledgers of the watched engines.
 #[derive(Debug)]
 pub struct WatcherService {
     parts: WatcherParts,
     ledgers: Watcher,
-    /// What each ledger had counted when it was last looked at.
-    counted: HashMap<BackendServerId, LedgerCounters>,
-    /// The lives of the region's daemons, as last seen.
-    lives: Vec<Incarnation>,
-    /// Who watches each engine of the region, as last told to the scheduler.
+    /// Counters of each ledger as last exported.
+    exported_counters: HashMap<BackendServerId, LedgerCounters>,
+    /// Incarnations of the region's other daemons, as last seen.
+    incarnations: Vec<Incarnation>,
+    /// Watcher of each engine of the region, as last reported to the scheduler.
     watchers: HashMap<BackendServerId, Option<HostId>>,
-    /// What each watched engine last reported to hold.
+    /// Requests that each watched engine last reported to hold memory for.
     held: HashMap<BackendServerId, Vec<HeldRequest>>,
-    /// When each watched engine was last read.
+    /// Time of the last read of each watched engine.
     read_us: HashMap<BackendServerId, MonoTime>,
-    /// Up to where the cache events of each watched prefill server are known.
+    /// Sequence number of the last known cache event of each watched prefill server.
     cache_seq: HashMap<BackendServerId, u64>,
-    /// Which owners of that memory may be dead.
+    /// Per watched engine, detection of memory whose owner may be dead.
     orphans: HashMap<BackendServerId, OrphanDetector>,
-    reports: mpsc::UnboundedSender<Reported>,
+    reports: mpsc::UnboundedSender<EngineReport>,
     ready: watch::Sender<bool>,
     actions: Vec<LedgerAction>,
 }
 
 impl WatcherService {
-    /// Runs until the inbox closes.
+    /// Runs until the inbox is closed.
     pub async fn run(
         parts: WatcherParts,
         mut inbox: mpsc::Receiver<WatcherCommand>,
@@ -144,8 +144,8 @@
         let mut service = Self {
             parts,
             ledgers: Watcher::new(LedgerSettings::default()),
-            counted: HashMap::new(),
-            lives: Vec::new(),
+            exported_counters: HashMap::new(),
+            incarnations: Vec::new(),
             watchers: HashMap::new(),
             held: HashMap::new(),
             read_us: HashMap::new(),
@@ -155,11 +155,11 @@
             ready,
             actions: Vec::new(),
         };
-        let mut tick = tokio::time::interval(TICK);
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut read_tick = tokio::time::interval(READ_PERIOD);
+        let mut read_tick = tokio::time::interval(READ_INTERVAL);
         read_tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut count_tick = tokio::time::interval(COUNT_PERIOD);
+        let mut count_tick = tokio::time::interval(COUNT_INTERVAL);
         count_tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -167,14 +167,14 @@
                     let Some(command) = command else { return };
                     service.command(command);
                 }
-                Some(report) = reported.recv() => service.report(report),
-                Ok(()) = member_changes.changed() => service.rearrange(),
-                Ok(()) = listing_changes.changed() => service.rearrange(),
+                Some(report) = reported.recv() => service.handle_report(report),
+                Ok(()) = member_changes.changed() => service.update_assignments(),
+                Ok(()) = listing_changes.changed() => service.update_assignments(),
                 _ = tick.tick() => service.ledgers.tick(clock::now(), &mut service.actions),
                 _ = read_tick.tick() => service.read_next(),
-                _ = count_tick.tick() => service.count(),
+                _ = count_tick.tick() => service.count_ledgers(),
             }
-            service.carry_out();
+            service.execute_actions();
         }
     }
 
@@ -184,43 +184,43 @@
             WatcherCommand::Slot { from, incarnation, message } => {
                 self.ledgers.handle(now_us, &from, incarnation, message, &mut self.actions);
             }
-            WatcherCommand::Sign(server) => self.follow_sign(now_us, &server),
+            WatcherCommand::ServerSignal(server) => self.apply_server_signal(now_us, &server),
         }
     }
 
-    fn follow_sign(&mut self, now_us: MonoTime, server: &BackendServerId) {
+    fn apply_server_signal(&mut self, now_us: MonoTime, server: &BackendServerId) {
         let listing = self.parts.directory.listing();
         let Some(listed) = listing.servers.get(server) else {
             return;
         };
-        let leaving = !self.parts.directory.takes_work(now_us, listed);
+        let leaving = !self.parts.directory.accepts_work(now_us, listed);
         if let Some(ledger) = self.ledgers.ledger_mut(server) {
             ledger.set_leaving(now_us, leaving, &mut self.actions);
         }
     }
 
-    /// Follows a change of the members or of the servers: ledgers are opened and closed, and the scheduler
-    /// learns of servers and of new watchers, with whom it registers what it holds.
-    fn rearrange(&mut self) {
+    /// Applies a change of membership or of the directory: opens and closes ledgers, and tells the scheduler about
+    /// servers and new watchers, with which it registers its held slots.
+    fn update_assignments(&mut self) {
         let now_us = clock::now();
         let view = self.parts.members.load_full();
         let listing = self.parts.directory.listing();
         self.parts.plain_hub.adopt(&listing);
-        let engines = engines_for(&self.parts.region, &listing);
-        let records = engines.iter().filter_map(|server| record_of(server)).collect();
+        let engines = engines_in_region(&self.parts.region, &listing);
+        let records = engines.iter().filter_map(|server| server_record(server)).collect();
         self.parts.hub.feed(Event::Servers(records));
-        let others = lives_of_region(&self.parts, &view);
-        self.forget_lives(now_us, &others);
+        let others = incarnations_in_region(&self.parts, &view);
+        self.forget_ended_incarnations(now_us, &others);
         let mut watchers = HashMap::with_capacity(engines.len());
         let known: HashSet<BackendServerId> = self.ledgers.servers().cloned().collect();
         for server in &engines {
-            self.arrange(now_us, server, &view, &others);
+            self.update_ledger(now_us, server, &view, &others);
             watchers.insert(
                 server.id.clone(),
                 watcher_with_fallback(&server.id, &server.data_centre, &server.region, &view),
             );
         }
-        self.close_unlisted(now_us, &watchers);
+        self.unwatch_unlisted(now_us, &watchers);
         self.announce(&view, &known);
         for (server, watcher) in &watchers {
             if self.watchers.get(server) != Some(watcher) {
@@ -233,7 +233,7 @@
         }
     }
 
-    fn arrange(
+    fn update_ledger(
         &mut self,
         now_us: MonoTime,
         server: &BackendServer,
@@ -245,64 +245,65 @@
         };
         if !is_watched_here(&server.id, &server.data_centre, &server.region, view) {
             self.ledgers.unwatch(now_us, &server.id, &mut self.actions);
-            self.forget(&server.id);
+            self.remove_server(&server.id);
             return;
         }
-        self.ledgers.watch(now_us, &server.id, role_of(*role), *slots_total, *link_bytes_per_s, others);
-        let leaving = !self.parts.directory.takes_work(now_us, server);
+        self.ledgers.watch(now_us, &server.id, ledger_role(*role), *slots_total, *link_bytes_per_s, others);
+        let leaving = !self.parts.directory.accepts_work(now_us, server);
         if let Some(ledger) = self.ledgers.ledger_mut(&server.id) {
             ledger.set_leaving(now_us, leaving, &mut self.actions);
         }
     }
 
-    /// Asks the other daemons of the region to register what they hold at the engines that this one watches
-    /// since now.
+    /// Asks the other daemons of the region to register the slots they hold at newly watched engines.
     fn announce(&self, view: &MembersView, known: &HashSet<BackendServerId>) {
         let new: Vec<_> = self.ledgers.servers().filter(|server| !known.contains(*server)).cloned().collect();
         let others =
             view.all().filter(|member| member.region == self.parts.region && member.host != self.parts.host);
         for member in others {
-            for servers in new.chunks(ANNOUNCED_AT_ONCE) {
+            for servers in new.chunks(MAX_ANNOUNCED_SERVERS) {
                 self.parts.link.send(&member.host, PeerBody::Watching(servers.to_vec()));
             }
         }
     }
 
-    /// A life that has ended registers no grants any more; a new watcher need not wait for it.
-    fn forget_lives(&mut self, now_us: MonoTime, lives: &[Incarnation]) {
-        for ended in self.lives.iter().filter(|life| !lives.contains(life)) {
+    /// Removes incarnations that have ended: they no longer register grants, so new watchers need not wait for
+    /// them.
+    fn forget_ended_incarnations(&mut self, now_us: MonoTime, live: &[Incarnation]) {
+        for ended in self.incarnations.iter().filter(|incarnation| !live.contains(incarnation)) {
             self.ledgers.forget_daemon(now_us, *ended);
         }
-        self.lives = lives.to_vec();
+        self.incarnations = live.to_vec();
     }
 
-    fn count(&mut self) {
-        let mut counted = HashMap::with_capacity(self.counted.len());
+    fn count_ledgers(&mut self) {
+        let mut exported_counters = HashMap::with_capacity(self.exported_counters.len());
         for (server, ledger) in self.ledgers.servers().filter_map(|id| Some((id, self.ledgers.ledger(id)?))) {
-            let (before, now) = (self.counted.remove(server).unwrap_or_default(), ledger.counters());
+            let (before, now) =
+                (self.exported_counters.remove(server).unwrap_or_default(), ledger.counters());
             metrics_reporter::count_ledger(&self.parts.metrics, before, now);
-            counted.insert(server.clone(), now);
+            exported_counters.insert(server.clone(), now);
         }
-        self.counted = counted;
+        self.exported_counters = exported_counters;
     }
 
-    fn close_unlisted(&mut self, now_us: MonoTime, listed: &HashMap<BackendServerId, Option<HostId>>) {
+    fn unwatch_unlisted(&mut self, now_us: MonoTime, listed: &HashMap<BackendServerId, Option<HostId>>) {
         let gone: Vec<_> =
             self.ledgers.servers().filter(|server| !listed.contains_key(*server)).cloned().collect();
         for server in gone {
             self.ledgers.unwatch(now_us, &server, &mut self.actions);
-            self.forget(&server);
+            self.remove_server(&server);
         }
     }
 
-    fn forget(&mut self, server: &BackendServerId) {
+    fn remove_server(&mut self, server: &BackendServerId) {
         self.held.remove(server);
         self.orphans.remove(server);
         self.cache_seq.remove(server);
         self.read_us.remove(server);
     }
 
-    /// Reads the engine that was read longest ago, if that is long enough.
+    /// Reads the engine that was read longest ago, unless that was too recent.
     fn read_next(&mut self) {
         let now_us = clock::now();
         let last_read = |server: &BackendServerId| self.read_us.get(server).copied().unwrap_or_default();
@@ -310,39 +311,40 @@
         else {
             return;
         };
-        if self.read_us.get(&server).is_some_and(|read_us| now_us < *read_us + REPORT_PERIOD_MS) {
+        if self.read_us.get(&server).is_some_and(|read_us| now_us < *read_us + MIN_READ_INTERVAL_MS) {
             return;
         }
         self.read_us.insert(server.clone(), now_us);
         let Some(address) = self.parts.directory.address_of(&server) else {
             return;
         };
-        let reads = self.ledgers.ledger(&server).is_some_and(|ledger| ledger.role() == Role::Prefill);
-        let cache_after = reads.then(|| self.cache_seq.get(&server).copied().unwrap_or_default());
+        let is_prefill = self.ledgers.ledger(&server).is_some_and(|ledger| ledger.role() == Role::Prefill);
+        let cache_after = is_prefill.then(|| self.cache_seq.get(&server).copied().unwrap_or_default());
         let engines = Arc::clone(&self.parts.engines);
         tokio::spawn(read_engine(engines, self.reports.clone(), server, address, cache_after));
     }
 
-    fn report(&mut self, reported: Reported) {
-        let Reported { server, asked_us, news } = reported;
+    fn handle_report(&mut self, reported: EngineReport) {
+        let EngineReport { server, requested_us, news } = reported;
         match news {
-            News::Load(load) => self.load_report(server, asked_us, load),
-            News::Cache(page) => self.cache_report(server, &page),
+            ReportContent::Load(load) => self.load_report(server, requested_us, load),
+            ReportContent::Cache(page) => self.cache_report(server, &page),
         }
     }
 
-    fn load_report(&mut self, server: BackendServerId, asked_us: MonoTime, load: EngineLoad) {
+    fn load_report(&mut self, server: BackendServerId, requested_us: MonoTime, load: EngineLoad) {
         let now_us = clock::now();
-        // The answer may describe the engine as it was when the question arrived.
-        let as_of_us = Micros::from(load.as_of_ms_ago) + now_us.since(asked_us);
-        let held = load.held.iter().filter_map(|held| request_of(&held.request_id)).collect();
+        // The answer may reflect the state of the engine at the time it received the request.
+        let as_of_us = Micros::from(load.as_of_ms_ago) + now_us.since(requested_us);
+        let held = load.held.iter().filter_map(|held| parse_request_id(&held.request_id)).collect();
         self.ledgers.report(now_us, &server, &HeldReport { as_of_us, held }, &mut self.actions);
         self.release_orphans(now_us, &server, &load);
         self.held.insert(server, load.held);
     }
 
-    /// Events tell of prompts that other daemons sent and of evictions; of its own prompts the scheduler knows
-    /// before any event comes. They are a hint: one that is lost costs a prefill, never an answer.
+    /// Feeds cache events to the scheduler. Events report prompts sent by other daemons, and evictions; the
+    /// scheduler already knows its own prompts. They are hints: a lost event may cost a prefill, but never an
+    /// answer.
     fn cache_report(&mut self, server: BackendServerId, page: &CachePage) {
         self.cache_seq.insert(server.clone(), page.next_seq.saturating_sub(1));
         if !page.events.is_empty() {
@@ -351,8 +353,8 @@
         }
     }
 
-    /// Has an engine release what daemons that died left behind. Each report that still shows it has it asked
-    /// again, so a lost cancellation costs one period.
+    /// Asks an engine to release the memory of daemons that have died. The request is repeated for each report
+    /// that still lists such memory, so a lost cancellation costs one report interval.
     fn release_orphans(&mut self, now_us: MonoTime, server: &BackendServerId, load: &EngineLoad) {
         let view = self.parts.members.load();
         let owners: HashSet<&Owner> = load.held.iter().map(|held| &held.owner).collect();
@@ -360,12 +362,12 @@
             owner: MemoryOwner { host: owner.host.clone(), incarnation: owner.incarnation },
             state: owner_state(owner, &view),
         });
-        let watch = self
+        let detector = self
             .orphans
             .entry(server.clone())
             .or_insert_with(|| OrphanDetector::new(OrphanSettings::default()));
         let full = load.slots_total > 0 && load.slots_used >= load.slots_total;
-        let orphans = watch.orphans(now_us, full, seen);
+        let orphans = detector.orphans(now_us, full, seen);
         let Some(address) = self.parts.directory.address_of(server) else {
             return;
         };
@@ -376,7 +378,7 @@
         }
     }
 
-    fn carry_out(&mut self) {
+    fn execute_actions(&mut self) {
         for action in std::mem::take(&mut self.actions) {
             match action {
                 LedgerAction::Send { to, message } if to == self.parts.host => {
@@ -384,19 +386,19 @@
                 }
                 LedgerAction::Send { to, message } => self.parts.link.send(&to, PeerBody::Slots(message)),
                 LedgerAction::Cancel { server, request_id } => self.cancel(&server, request_id),
-                // The regular tick is soon enough for what a ledger waits for.
+                // The regular tick covers what a ledger waits for.
                 LedgerAction::Wake { .. } => {}
             }
         }
     }
 
-    /// Releases what a request holds at a watched engine although its daemon, which lives, no longer renews it.
-    /// The tries are those that the engine itself reported. Whether a daemon that is not heard is dead or only
-    /// cut off from here is for the orphan watch to decide, with more patience: it may be reading its streams.
+    /// Releases the memory of a request at a watched engine after its daemon, which is live, stopped renewing it.
+    /// The attempts are those reported by the engine. If the daemon is not heard, the orphan detector decides
+    /// after a longer delay whether it is dead or only unreachable from here: it may still be reading its streams.
     fn cancel(&self, server: &BackendServerId, request_id: RequestId) {
         let view = self.parts.members.load();
         let held = self.held.get(server).into_iter().flatten();
-        let of_request = held.filter(|held| request_of(&held.request_id) == Some(request_id));
+        let of_request = held.filter(|held| parse_request_id(&held.request_id) == Some(request_id));
         for held in of_request.filter(|held| owner_state(&held.owner, &view) == OwnerState::Live) {
             if let Ok(attempt_id) = held.request_id.parse() {
                 let held = HeldMemory { attempt_id, owner: Some(held.owner.clone()) };
@@ -406,23 +408,27 @@
     }
 }
 
-/// Reads load and, of a prefill server, cache events. What does not come is nothing to act on: the ledger counts its
-/// own grants, and whether the server is mute shows in the calls of requests.
+/// Reads the load and, for a prefill server, the cache events. Failed reads are ignored: the ledger counts its own
+/// grants, and an unresponsive server shows up in failed requests.
 async fn read_engine(
     engines: Arc<dyn EngineClient>,
-    reports: mpsc::UnboundedSender<Reported>,
+    reports: mpsc::UnboundedSender<EngineReport>,
     server: BackendServerId,
     address: SocketAddr,
     cache_after: Option<u64>,
 ) {
-    let asked_us = clock::now();
-    // The service ends with its daemon, and its reads with it.
+    let requested_us = clock::now();
+    // The channel is closed only when the daemon shuts down.
     if let Ok(load) = engines.load(address).await {
-        let _ = reports.send(Reported { server: server.clone(), asked_us, news: News::Load(load) });
+        let _ = reports.send(EngineReport {
+            server: server.clone(),
+            requested_us,
+            news: ReportContent::Load(load),
+        });
     }
     let Some(after) = cache_after else { return };
     if let Ok(page) = engines.cache_events(address, after).await {
-        let _ = reports.send(Reported { server, asked_us, news: News::Cache(page) });
+        let _ = reports.send(EngineReport { server, requested_us, news: ReportContent::Cache(page) });
     }
 }
 
@@ -434,11 +440,12 @@
     CacheEvent { seq: change.seq, kind, block: change.block }
 }
 
-fn request_of(text: &str) -> Option<RequestId> {
+fn parse_request_id(text: &str) -> Option<RequestId> {
     text.parse().ok().map(|attempt: AttemptId| attempt.request_id)
 }
 
-/// What the view says of a life that holds memory. One that is newer than the view's is not yet known here.
+/// State of the owner according to the membership view. An incarnation newer than the view's counts as live, since
+/// it is not yet known here.
 fn owner_state(owner: &Owner, view: &MembersView) -> OwnerState {
     match view.find(&owner.host) {
         Some(member) if member.incarnation > owner.incarnation => OwnerState::Replaced,
@@ -447,28 +454,28 @@
     }
 }
 
-fn role_of(role: EngineRole) -> Role {
+fn ledger_role(role: EngineRole) -> Role {
     match role {
         EngineRole::Prefill => Role::Prefill,
         EngineRole::Decode => Role::Decode,
     }
 }
 
-/// The engines that this daemon places work on: those of its region. Between regions a KV cache would cross
-/// links that are slower than reading the prompt again.
-fn engines_for(region: &RegionId, listing: &Listing) -> Vec<Arc<BackendServer>> {
+/// The engines that this daemon schedules work on: those of its region. Between regions, transferring a KV cache
+/// is slower than repeating the prefill.
+fn engines_in_region(region: &RegionId, listing: &Listing) -> Vec<Arc<BackendServer>> {
     let engines = listing.servers.values().filter(|server| server.region == *region);
     engines.filter(|server| matches!(server.kind, BackendKind::Engine { .. })).cloned().collect()
 }
 
-fn record_of(server: &BackendServer) -> Option<ServerRecord> {
+fn server_record(server: &BackendServer) -> Option<ServerRecord> {
     let BackendKind::Engine { role, models, slots_total, link_bytes_per_s, .. } = &server.kind else {
         return None;
     };
     Some(ServerRecord {
         server: server.id.clone(),
         data_centre: server.data_centre.clone(),
-        role: role_of(*role),
+        role: ledger_role(*role),
         models: models.clone(),
         slots_total: *slots_total,
         link_bytes_per_s: *link_bytes_per_s,
@@ -479,8 +486,8 @@
     })
 }
 
-/// The lives of the other daemons of the region, any of which may hold grants of an earlier watcher.
-fn lives_of_region(parts: &WatcherParts, view: &MembersView) -> Vec<Incarnation> {
+/// Incarnations of the other daemons of the region, any of which may hold grants of a previous watcher.
+fn incarnations_in_region(parts: &WatcherParts, view: &MembersView) -> Vec<Incarnation> {
     view.all()
         .filter(|member| member.region == parts.region && member.host != parts.host)
         .map(|member| member.incarnation)
--- a/crates/router/tests/claims/fake.rs
+++ b/crates/router/tests/claims/fake.rs
@@ -1,4 +1,4 @@
-//! A log in memory and a link between claims services of one process.
+//! An in-memory log, and a link between claims services in one process.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -9,22 +9,22 @@
 use futures_util::future::BoxFuture;
 use hibiscusvale::claims::ClaimsCommand;
 use hibiscusvale::external::{AppendError, Log, LogFailure, LogPage, LogRecord, Stream};
-use hibiscusvale::kernel::{Kernel, ServiceName};
 use hibiscusvale::peer::{PeerBody, PeerLink};
+use hibiscusvale::service_registry::{ServiceName, ServiceRegistry};
 use hibiscusvale_core::ids::{HostId, Offset};
 use hibiscusvale_core::units::Millis;
 use parking_lot::Mutex;
 
-/// What the log does to calls.
+/// Fault that the log injects into calls.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Fault {
     #[default]
     None,
     /// Refuses all calls.
     Down,
-    /// Takes appends and loses their answers.
-    LosesAnswers,
-    /// Loses appends without a word.
+    /// Appends records but loses the response.
+    LosesResponses,
+    /// Loses both the records and the response.
     LosesAppends,
 }
 
@@ -50,8 +50,8 @@
         self.inner.lock().latency = latency;
     }
 
-    /// Empties all streams, as a log does that was set up anew.
-    pub fn empty(&self) {
+    /// Clears all streams, like a log that was reset.
+    pub fn reset(&self) {
         self.inner.lock().streams.clear();
     }
 
@@ -72,13 +72,13 @@
                 return Err(AppendError::NotAppended { cause, retry_after_ms: None });
             }
             Fault::LosesAppends => return Err(AppendError::Unknown { cause }),
-            Fault::None | Fault::LosesAnswers => {}
+            Fault::None | Fault::LosesResponses => {}
         }
         inner.appends += 1;
         let stream = inner.streams.entry(stream).or_default();
         let first = Offset(stream.len() as u64);
         stream.extend(records);
-        if inner.fault == Fault::LosesAnswers {
+        if inner.fault == Fault::LosesResponses {
             return Err(AppendError::Unknown { cause });
         }
         Ok(first)
@@ -127,16 +127,16 @@
     }
 }
 
-/// Joins the claims services of several kernels, unless a host is cut off.
+/// Connects the claims services of several daemons, except for hosts that are cut off.
 #[derive(Clone, Debug, Default)]
 pub struct Network {
-    kernels: Arc<Mutex<HashMap<HostId, Kernel>>>,
+    registries: Arc<Mutex<HashMap<HostId, ServiceRegistry>>>,
     cut: Arc<Mutex<HashSet<HostId>>>,
 }
 
 impl Network {
-    pub fn join(&self, host: &HostId, kernel: Kernel) -> Arc<dyn PeerLink> {
-        self.kernels.lock().insert(host.clone(), kernel);
+    pub fn join(&self, host: &HostId, registry: ServiceRegistry) -> Arc<dyn PeerLink> {
+        self.registries.lock().insert(host.clone(), registry);
         Arc::new(FakeLink { network: self.clone(), from: host.clone() })
     }
 
@@ -158,9 +158,9 @@
             return;
         }
         let PeerBody::Claims(message) = body else { return };
-        let kernels = self.network.kernels.lock();
-        let Some(kernel) = kernels.get(to) else { return };
-        let inbox = kernel.find::<ClaimsCommand>(ServiceName::Claims).expect("service runs");
+        let registries = self.network.registries.lock();
+        let Some(registry) = registries.get(to) else { return };
+        let inbox = registry.find::<ClaimsCommand>(ServiceName::Claims).expect("service runs");
         inbox.try_send(ClaimsCommand::Peer { from: self.from.clone(), message }).expect("room");
     }
 }
--- a/crates/router/tests/claims/main.rs
+++ b/crates/router/tests/claims/main.rs
@@ -1,4 +1,4 @@
-//! The claims service over a log in memory.
+//! Tests of the claims service with an in-memory log.
 
 mod fake;
 mod service;
--- a/crates/router/tests/claims/service.rs
+++ b/crates/router/tests/claims/service.rs
@@ -3,7 +3,7 @@
 
 use hibiscusvale::claims::{self, ClaimDecision, ClaimsCommand, ClaimsHandle};
 use hibiscusvale::clock;
-use hibiscusvale::kernel::{Kernel, ServiceName};
+use hibiscusvale::service_registry::{ServiceName, ServiceRegistry};
 use hibiscusvale_core::claim::{BodyDigest, ClaimSettings, StoredAnswer};
 use hibiscusvale_core::ids::{HostId, IdempotencyKey, Incarnation, PartnerId, RequestId};
 use hibiscusvale_core::units::Millis;
@@ -15,16 +15,16 @@
     host: HostId,
     incarnation: Incarnation,
     handle: ClaimsHandle,
-    kernel: Kernel,
+    registry: ServiceRegistry,
     stop: CancellationToken,
     sequence: std::cell::Cell<u64>,
 }
 
 impl Node {
-    fn start(name: &str, life: u64, log: &FakeLog, network: &Network) -> Self {
+    fn start(name: &str, incarnation: u64, log: &FakeLog, network: &Network) -> Self {
         let host: HostId = name.parse().expect("name");
-        let kernel = Kernel::default();
-        let link = network.join(&host, kernel.clone());
+        let registry = ServiceRegistry::default();
+        let link = network.join(&host, registry.clone());
         let stop = CancellationToken::new();
         let settings = ClaimSettings {
             begin_timeout_ms: Millis(500),
@@ -32,9 +32,9 @@
             append_interval_ms: Millis(5),
             ..ClaimSettings::default()
         };
-        let incarnation = Incarnation(life.into());
+        let incarnation = Incarnation(incarnation.into());
         let handle = claims::start(
-            &kernel,
+            &registry,
             host.clone(),
             incarnation,
             settings,
@@ -43,12 +43,12 @@
             stop.clone(),
         )
         .expect("first of its name");
-        Self { host, incarnation, handle, kernel, stop, sequence: std::cell::Cell::new(0) }
+        Self { host, incarnation, handle, registry, stop, sequence: std::cell::Cell::new(0) }
     }
 
-    async fn know(&self, members: &[&Self]) {
+    async fn set_members(&self, members: &[&Self]) {
         let members = members.iter().map(|node| node.host.clone()).collect();
-        let inbox = self.kernel.find::<ClaimsCommand>(ServiceName::Claims).expect("service runs");
+        let inbox = self.registry.find::<ClaimsCommand>(ServiceName::Claims).expect("service runs");
         inbox.send(ClaimsCommand::Members(members)).await.expect("service runs");
     }
 
@@ -65,7 +65,7 @@
     StoredAnswer { status: 201, headers: Vec::new(), body: text.as_bytes().to_vec() }
 }
 
-fn run(decision: ClaimDecision) -> claims::ClaimGuard {
+fn expect_run(decision: ClaimDecision) -> claims::ClaimGuard {
     let ClaimDecision::Run(guard) = decision else { panic!("expected to run, got {decision:?}") };
     assert!(guard.may_start(clock::now()));
     guard
@@ -75,7 +75,7 @@
 async fn second_call_gets_the_first_answer() {
     let log = FakeLog::default();
     let node = Node::start("a", 1, &log, &Network::default());
-    let guard = run(node.begin("nadifa", "k", "flat 3").await);
+    let guard = expect_run(node.begin("nadifa", "k", "flat 3").await);
     let second = node.begin("nadifa", "k", "flat 3").await;
     assert!(matches!(second, ClaimDecision::InProgress), "{second:?}");
     guard.answered(Some(answer("booked")));
@@ -87,22 +87,22 @@
 #[tokio::test]
 async fn same_key_with_another_body_is_refused() {
     let node = Node::start("a", 1, &FakeLog::default(), &Network::default());
-    run(node.begin("nadifa", "k", "flat 3").await).answered(None);
+    expect_run(node.begin("nadifa", "k", "flat 3").await).answered(None);
     let other = node.begin("nadifa", "k", "flat 4").await;
-    assert!(matches!(other, ClaimDecision::OtherBody), "{other:?}");
+    assert!(matches!(other, ClaimDecision::BodyMismatch), "{other:?}");
     let gone = node.begin("nadifa", "k", "flat 3").await;
-    assert!(matches!(gone, ClaimDecision::AnswerGone), "{gone:?}");
+    assert!(matches!(gone, ClaimDecision::AnswerEvicted), "{gone:?}");
 }
 
 #[tokio::test]
 async fn two_partners_may_use_the_same_key() {
     let node = Node::start("a", 1, &FakeLog::default(), &Network::default());
-    run(node.begin("nadifa", "k", "flat 3").await).answered(Some(answer("booked")));
-    run(node.begin("registry", "k", "flat 3").await).answered(None);
+    expect_run(node.begin("nadifa", "k", "flat 3").await).answered(Some(answer("booked")));
+    expect_run(node.begin("registry", "k", "flat 3").await).answered(None);
 }
 
-/// The log is down. A caller with a key is refused at once and told when to come back; nothing ran, and the
-/// same key works once the log is up.
+/// During a log outage, a request with a key is refused immediately with a retry time. Nothing has run, and the
+/// same key works once the log is available.
 #[tokio::test]
 async fn log_outage_refuses_and_frees_the_key() {
     let log = FakeLog::default();
@@ -112,21 +112,21 @@
     let ClaimDecision::Unavailable { retry_after_ms } = refused else { panic!("{refused:?}") };
     log.set_fault(Fault::None);
     tokio::time::sleep(Duration::from(retry_after_ms)).await;
-    run(node.begin("nadifa", "k", "flat 3").await).not_run();
+    expect_run(node.begin("nadifa", "k", "flat 3").await).not_run();
 }
 
-/// The log takes an append and its answer is lost. The caller notices nothing: the record is found by
-/// reading, and the request runs once.
+/// The log appends a record but its response is lost. The record is found by reading back, and the request runs
+/// once without the caller noticing.
 #[tokio::test]
-async fn lost_append_answer_is_read_back() {
+async fn lost_append_response_is_read_back() {
     let log = FakeLog::default();
     let node = Node::start("a", 1, &log, &Network::default());
-    log.set_fault(Fault::LosesAnswers);
-    run(node.begin("nadifa", "k", "flat 3").await).answered(None);
+    log.set_fault(Fault::LosesResponses);
+    expect_run(node.begin("nadifa", "k", "flat 3").await).answered(None);
     assert_eq!(log.appends(), 1);
 }
 
-/// Appends vanish without a word. The caller is refused in time, and may come back with the same key.
+/// Appends are lost without a response. The caller is refused in time and may retry with the same key.
 #[tokio::test]
 async fn lost_appends_end_in_a_refusal() {
     let log = FakeLog::default();
@@ -135,20 +135,20 @@
     let refused = node.begin("nadifa", "k", "flat 3").await;
     assert!(matches!(refused, ClaimDecision::Unavailable { .. }), "{refused:?}");
     log.set_fault(Fault::None);
-    run(node.begin("nadifa", "k", "flat 3").await).answered(None);
+    expect_run(node.begin("nadifa", "k", "flat 3").await).answered(None);
 }
 
-/// A log that was set up anew is empty, and with it every claim is gone. A caller's retry must not run a
-/// second time because of that; all are refused.
+/// A reset log is empty, and all claims are lost. A retry must not run a second time because of that, so all
+/// requests are refused.
 #[tokio::test]
-async fn emptied_log_refuses() {
+async fn reset_log_refuses_all_claims() {
     let log = FakeLog::default();
     let network = Network::default();
     let a = Node::start("a", 1, &log, &network);
     for key in 0..200 {
-        run(a.begin("nadifa", &format!("before-{key}"), "flat 3").await).not_run();
+        expect_run(a.begin("nadifa", &format!("before-{key}"), "flat 3").await).not_run();
     }
-    log.empty();
+    log.reset();
     let mut refused = 0;
     for key in 0..200 {
         match a.begin("nadifa", &format!("after-{key}"), "flat 3").await {
@@ -159,17 +159,17 @@
     assert_eq!(refused, 200);
 }
 
-/// A caller retries at another host while the first still runs its request, and again when that has ended,
-/// and again when the first host was killed and replaced.
+/// A caller retries at another host: while the first host still runs the request, after the request has ended, and
+/// after the first host was killed and replaced.
 #[tokio::test]
 async fn retry_at_another_host_never_runs_again() {
     let log = FakeLog::default();
     let network = Network::default();
     let (a, b) = (Node::start("a", 1, &log, &network), Node::start("b", 2, &log, &network));
     for node in [&a, &b] {
-        node.know(&[&a, &b]).await;
+        node.set_members(&[&a, &b]).await;
     }
-    let guard = run(a.begin("nadifa", "k", "flat 3").await);
+    let guard = expect_run(a.begin("nadifa", "k", "flat 3").await);
     let during = b.begin("nadifa", "k", "flat 3").await;
     assert!(matches!(during, ClaimDecision::InProgress), "{during:?}");
     guard.answered(Some(answer("booked")));
@@ -184,15 +184,15 @@
     assert!(matches!(late, ClaimDecision::Unknown), "{late:?}");
 }
 
-/// Two hosts are cut off from each other, though both reach the log. Each may claim through the log, and the
-/// log's order lets one of them run.
+/// Two hosts are cut off from each other, but both reach the log. Both may append a claim, and the log's order
+/// decides which one runs.
 #[tokio::test]
-async fn cut_between_hosts_is_decided_by_the_log() {
+async fn claims_across_a_partition_are_decided_by_the_log() {
     let log = FakeLog::default();
     let network = Network::default();
     let (a, b) = (Node::start("a", 1, &log, &network), Node::start("b", 2, &log, &network));
     for node in [&a, &b] {
-        node.know(&[&a, &b]).await;
+        node.set_members(&[&a, &b]).await;
     }
     network.cut(&a.host);
     log.set_latency(Duration::from_millis(5));
@@ -205,7 +205,7 @@
     }
 }
 
-/// Many callers at once share appends: the log takes only several hundred a second in all.
+/// Concurrent claims share appends: the log accepts only several hundred appends per second in total.
 #[tokio::test]
 async fn claims_are_appended_in_groups() {
     let log = FakeLog::default();
--- a/crates/router/tests/ops/directory.rs
+++ b/crates/router/tests/ops/directory.rs
@@ -36,7 +36,7 @@
 fn directory_of_two() -> Directory {
     let directory = Directory::default();
     let entries = vec![plain("a", ListedState::Live), plain("b", ListedState::Live)];
-    directory.take(page(1, HostListChange::Full(entries)));
+    directory.apply(page(1, HostListChange::Full(entries)));
     directory
 }
 
@@ -50,7 +50,7 @@
 fn incremental_change_keeps_other_servers() {
     let directory = directory_of_two();
     let change = HostListChange::Some { set: vec![plain("c", ListedState::Live)], remove: vec![id("a")] };
-    directory.take(page(2, change));
+    directory.apply(page(2, change));
     assert_eq!(names(&directory), ["b", "c"]);
     assert_eq!(directory.listing().version, 2);
 }
@@ -60,9 +60,9 @@
 #[test]
 fn empty_list_removes_no_server() {
     let directory = directory_of_two();
-    directory.take(page(9, HostListChange::Full(Vec::new())));
+    directory.apply(page(9, HostListChange::Full(Vec::new())));
     assert_eq!(names(&directory), ["a", "b"]);
-    directory.take(page(1, HostListChange::Full(vec![plain("b", ListedState::Live)])));
+    directory.apply(page(1, HostListChange::Full(vec![plain("b", ListedState::Live)])));
     assert_eq!(names(&directory), ["b"]);
 }
 
@@ -74,13 +74,13 @@
     let listing = directory.listing();
     let server = &listing.servers[&id("a")];
     let seen_us = MonoTime(1_000_000);
-    assert!(directory.takes_work(seen_us, server));
-    assert!(directory.note_leaving(seen_us, &server.id));
-    assert!(!directory.note_leaving(seen_us, &server.id), "a repeated notice is not new");
-    assert!(!directory.takes_work(seen_us + Millis(5_000), server));
-    assert!(directory.takes_work(seen_us + Millis(60_000), server));
+    assert!(directory.accepts_work(seen_us, server));
+    assert!(directory.mark_leaving(seen_us, &server.id));
+    assert!(!directory.mark_leaving(seen_us, &server.id), "a repeated notice is not new");
+    assert!(!directory.accepts_work(seen_us + Millis(5_000), server));
+    assert!(directory.accepts_work(seen_us + Millis(60_000), server));
 
-    directory.note_leaving(seen_us, &server.id);
-    directory.note_taking(&server.id);
-    assert!(directory.takes_work(seen_us, server));
+    directory.mark_leaving(seen_us, &server.id);
+    directory.clear_leaving(&server.id);
+    assert!(directory.accepts_work(seen_us, server));
 }
--- a/crates/router/tests/peer/main.rs
+++ b/crates/router/tests/peer/main.rs
@@ -1,4 +1,4 @@
-//! The link between daemons over real sockets on the loopback interface.
+//! Tests of the link between daemons over the loopback interface.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -17,8 +17,8 @@
 
 const KEY: &str = "0101010101010101010101010101010101010101010101010101010101010101";
 const OTHER_KEY: &str = "0202020202020202020202020202020202020202020202020202020202020202";
-/// Bound on any wait; a test that reaches it fails.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Upper bound of any wait; a test that reaches it fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn host(name: &str) -> HostId {
     name.parse().unwrap()
@@ -28,7 +28,7 @@
     "127.0.0.1:0".parse().unwrap()
 }
 
-fn start(name: &str, key: &str, life: u64) -> (Arc<NngLink>, Receiver<PeerMessage>) {
+fn start(name: &str, key: &str, incarnation: u64) -> (Arc<NngLink>, Receiver<PeerMessage>) {
     let settings = LinkSettings {
         idle: Duration::from_hours(10),
         ..LinkSettings::new(host(name), any_port(), key.parse().unwrap())
@@ -38,7 +38,7 @@
     let inbound = Arc::new(move |message: PeerMessage| {
         sender.lock().unwrap().send(message).unwrap_or_default();
     });
-    let link = NngLink::start(settings, Incarnation(life.into()), inbound).unwrap();
+    let link = NngLink::start(settings, Incarnation(incarnation.into()), inbound).unwrap();
     (link, receiver)
 }
 
@@ -46,14 +46,14 @@
     PeerBody::Membership(MembershipMessage::Ping { counter })
 }
 
-/// Waits until `is_done`; the verdict is the condition, the bound only ends a hopeless wait.
+/// Polls until `is_done` returns true, for at most [`TEST_TIMEOUT`].
 fn wait_until<Done>(is_done: Done)
 where
     Done: Fn() -> bool,
 {
     let start = Instant::now();
     while !is_done() {
-        assert!(start.elapsed() < PATIENCE, "condition was not met");
+        assert!(start.elapsed() < TEST_TIMEOUT, "condition was not met");
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -74,35 +74,35 @@
 
 #[test]
 fn carries_messages_both_ways() {
-    let (one, of_one) = start("one", KEY, 1);
-    let (two, of_two) = start("two", KEY, 1);
+    let (one, received_by_one) = start("one", KEY, 1);
+    let (two, received_by_two) = start("two", KEY, 1);
     one.send_at(Some(&host("two")), two.local_address(), ping(1));
     two.send_at(None, one.local_address(), ping(2));
-    let message = of_two.recv_timeout(PATIENCE).unwrap();
+    let message = received_by_two.recv_timeout(TEST_TIMEOUT).unwrap();
     assert_eq!((message.from, message.body), (host("one"), ping(1)));
-    let message = of_one.recv_timeout(PATIENCE).unwrap();
+    let message = received_by_one.recv_timeout(TEST_TIMEOUT).unwrap();
     assert_eq!((message.from, message.body), (host("two"), ping(2)));
     assert!(one.counts().control_bytes > 0);
     assert_eq!(one.counts().request_bytes, 0);
 }
 
-/// Somebody on the network who does not have the key sends well-formed messages. Acting on one could move all
-/// servers to a daemon that is not there.
+/// An attacker without the key sends well-formed messages. Accepting one could move all servers to a daemon that
+/// does not exist.
 #[test]
 fn drops_messages_under_another_key() {
     let (forger, _) = start("one", OTHER_KEY, 9);
-    let (two, of_two) = start("two", KEY, 1);
+    let (two, received_by_two) = start("two", KEY, 1);
     forger.send_at(Some(&host("two")), two.local_address(), ping(1));
     wait_until(|| two.counts().refused_forged == 1);
-    assert_eq!(of_two.recv_timeout(Duration::ZERO), Err(RecvTimeoutError::Timeout));
+    assert_eq!(received_by_two.recv_timeout(Duration::ZERO), Err(RecvTimeoutError::Timeout));
 }
 
-/// A frame is recorded and sent again, also to another daemon.
+/// A recorded frame is replayed to its receiver and to another daemon.
 #[test]
-fn drops_what_is_sent_again() {
+fn drops_replayed_frames() {
     let (one, _) = start("one", KEY, 1);
-    let (two, of_two) = start("two", KEY, 1);
-    let (three, _of_three) = start("three", KEY, 1);
+    let (two, received_by_two) = start("two", KEY, 1);
+    let (three, _received_by_three) = start("three", KEY, 1);
     let (recorded, address) = recorder();
     one.send_at(Some(&host("two")), address, ping(1));
     let frame = recorded.recv().unwrap();
@@ -111,34 +111,34 @@
     to_two.send(frame.as_slice()).unwrap();
     to_two.send(frame.as_slice()).unwrap();
     wait_until(|| two.counts().refused_replayed == 1);
-    assert_eq!(of_two.recv_timeout(PATIENCE).unwrap().body, ping(1));
+    assert_eq!(received_by_two.recv_timeout(TEST_TIMEOUT).unwrap().body, ping(1));
 
     sender_to(three.local_address()).send(frame.as_slice()).unwrap();
     wait_until(|| three.counts().refused_forged == 1);
 }
 
-/// Damaged, cut or foreign bytes arrive. They cost a count and nothing else: the link goes on.
+/// Corrupted, truncated or foreign data arrives. It is counted and dropped, and the link keeps working.
 #[test]
-fn survives_bytes_that_are_no_frame() {
+fn survives_malformed_frames() {
     let (one, _) = start("one", KEY, 1);
-    let (two, of_two) = start("two", KEY, 1);
+    let (two, received_by_two) = start("two", KEY, 1);
     let raw = sender_to(two.local_address());
     for bytes in [&[][..], &[1], &[7; 40], &[0xff; 4_000]] {
         raw.send(bytes).unwrap();
     }
     wait_until(|| two.counts().refused_malformed == 4);
     one.send_at(Some(&host("two")), two.local_address(), ping(3));
-    assert_eq!(of_two.recv_timeout(PATIENCE).unwrap().body, ping(3));
+    assert_eq!(received_by_two.recv_timeout(TEST_TIMEOUT).unwrap().body, ping(3));
 }
 
-/// The old process of a replaced host wakes and speaks. What it says was true once.
+/// The old process of a replaced host resumes and sends an outdated message.
 #[test]
-fn drops_messages_of_a_life_that_is_over() {
+fn drops_messages_of_an_old_incarnation() {
     let (old, _) = start("one", KEY, 1);
     let (new, _) = start("one", KEY, 2);
-    let (two, of_two) = start("two", KEY, 1);
+    let (two, received_by_two) = start("two", KEY, 1);
     new.send_at(Some(&host("two")), two.local_address(), ping(1));
-    assert_eq!(of_two.recv_timeout(PATIENCE).unwrap().body, ping(1));
+    assert_eq!(received_by_two.recv_timeout(TEST_TIMEOUT).unwrap().body, ping(1));
     old.send_at(Some(&host("two")), two.local_address(), ping(2));
     wait_until(|| two.counts().refused_old_life == 1);
 }
@@ -150,9 +150,9 @@
     assert_eq!(one.counts().dropped_no_address, 1);
 }
 
-/// Passes connections on to `target`. Once `is_silent` is set, the connections open at that time swallow all
-/// bytes, as when a device between the ends has forgotten them; connections opened later work.
-fn forgetful_relay(target: SocketAddr, is_silent: Arc<AtomicBool>) -> SocketAddr {
+/// Proxies connections to `target`. Once `is_silent` is set, connections that are already open discard all data,
+/// as if a device on the path had lost their state; connections opened later work.
+fn silencing_proxy(target: SocketAddr, is_silent: Arc<AtomicBool>) -> SocketAddr {
     let listener = TcpListener::bind(any_port()).unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -179,40 +179,39 @@
     address
 }
 
-/// Something between two hosts loses track of an open connection. Neither end is told; messages vanish while
-/// a new connection would work. The sender notices that nothing is heard, asks, and dials anew.
+/// A device between two hosts loses the state of an open connection. Neither end is notified; messages are lost
+/// although a new connection would work. The sender must notice the silence, probe, and redial.
 #[test]
-fn dials_a_silent_connection_anew() {
-    let (one, of_one) = start("one", KEY, 1);
-    let (two, of_two) = start("two", KEY, 1);
+fn redials_a_silent_connection() {
+    let (one, received_by_one) = start("one", KEY, 1);
+    let (two, received_by_two) = start("two", KEY, 1);
     let is_silent = Arc::new(AtomicBool::new(false));
-    let relay = forgetful_relay(two.local_address(), Arc::clone(&is_silent));
-    one.send_at(Some(&host("two")), relay, ping(1));
-    of_two.recv_timeout(PATIENCE).unwrap();
+    let proxy = silencing_proxy(two.local_address(), Arc::clone(&is_silent));
+    one.send_at(Some(&host("two")), proxy, ping(1));
+    received_by_two.recv_timeout(TEST_TIMEOUT).unwrap();
     two.send_at(Some(&host("one")), one.local_address(), ping(2));
-    of_one.recv_timeout(PATIENCE).unwrap();
+    received_by_one.recv_timeout(TEST_TIMEOUT).unwrap();
 
     is_silent.store(true, Ordering::SeqCst);
-    one.send_at(Some(&host("two")), relay, ping(3));
+    one.send_at(Some(&host("two")), proxy, ping(3));
     let later = Instant::now() + Duration::from_mins(5);
     one.maintain(later);
     assert_eq!(one.counts().probes, 1);
     one.maintain(later + Duration::from_mins(5));
     assert_eq!(one.counts().redialled, 1);
-    one.send_at(Some(&host("two")), relay, ping(4));
-    assert_eq!(of_two.recv_timeout(PATIENCE).unwrap().body, ping(4));
+    one.send_at(Some(&host("two")), proxy, ping(4));
+    assert_eq!(received_by_two.recv_timeout(TEST_TIMEOUT).unwrap().body, ping(4));
 }
 
-/// A connection is quiet because nobody has anything to say. It must not be closed for that: the probe is
-/// answered.
+/// An idle connection must not be closed: its probe is answered.
 #[test]
-fn a_probe_that_is_answered_keeps_the_connection() {
-    let (one, of_one) = start("one", KEY, 1);
-    let (two, of_two) = start("two", KEY, 1);
+fn answered_probe_keeps_the_connection() {
+    let (one, received_by_one) = start("one", KEY, 1);
+    let (two, received_by_two) = start("two", KEY, 1);
     two.send_at(Some(&host("one")), one.local_address(), ping(1));
-    of_one.recv_timeout(PATIENCE).unwrap();
+    received_by_one.recv_timeout(TEST_TIMEOUT).unwrap();
     one.send_at(Some(&host("two")), two.local_address(), ping(2));
-    of_two.recv_timeout(PATIENCE).unwrap();
+    received_by_two.recv_timeout(TEST_TIMEOUT).unwrap();
     let received = one.counts().received_frames;
     let later = Instant::now() + Duration::from_mins(5);
     one.maintain(later);
--- a/crates/standins/tests/e2e/bad_input.rs
+++ b/crates/standins/tests/e2e/bad_input.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use hibiscusvale::daemon::{Daemon, Edges, new_incarnation};
+use hibiscusvale::daemon::{Daemon, ExternalSystems, new_incarnation};
 use hibiscusvale_core::units::{Bytes as ByteCount, Millis};
 use hibiscusvale_standins::Steer;
 use hibiscusvale_standins::client::call;
@@ -28,7 +28,7 @@
     settings.limits.body_timeout_ms = Millis(200);
     settings.limits.head_timeout_ms = Millis(200);
     let incarnation = new_incarnation();
-    let edges = Edges::new(&settings, incarnation);
+    let edges = ExternalSystems::new(&settings, incarnation);
     let daemon = Daemon::start(&settings, edges, incarnation).expect("daemon");
     daemon.ready().await;
     daemon
@@ -314,7 +314,8 @@
     settings.limits.body_bytes = ByteCount(4_096);
     settings.limits.held_body_bytes = ByteCount(8_192);
     let incarnation = new_incarnation();
-    let daemon = Daemon::start(&settings, Edges::new(&settings, incarnation), incarnation).expect("daemon");
+    let daemon =
+        Daemon::start(&settings, ExternalSystems::new(&settings, incarnation), incarnation).expect("daemon");
     daemon.ready().await;
     let caller = Caller::new(daemon.callers_address());
     let book = || {
@@ -347,7 +348,8 @@
     settings.limits.connections = 2;
     settings.limits.head_timeout_ms = Millis(200);
     let incarnation = new_incarnation();
-    let daemon = Daemon::start(&settings, Edges::new(&settings, incarnation), incarnation).expect("daemon");
+    let daemon =
+        Daemon::start(&settings, ExternalSystems::new(&settings, incarnation), incarnation).expect("daemon");
     daemon.ready().await;
     let mut silent = Vec::new();
     for _ in 0..4 {
--- a/crates/standins/tests/e2e/config.rs
+++ b/crates/standins/tests/e2e/config.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use hibiscusvale::daemon::{Daemon, Edges, new_incarnation};
+use hibiscusvale::daemon::{Daemon, ExternalSystems, new_incarnation};
 use hibiscusvale::operators::OperatorClient;
 use hibiscusvale::operators::views::{ConfigView, StatusView, TargetView};
 use hibiscusvale_core::config::{ClassTarget, Record};
@@ -102,7 +102,8 @@
     let mut settings = world.settings("entry-2", &[first.peer_address()]);
     settings.platform.log = cut.address;
     let incarnation = new_incarnation();
-    let second = Daemon::start(&settings, Edges::new(&settings, incarnation), incarnation).expect("daemon");
+    let second =
+        Daemon::start(&settings, ExternalSystems::new(&settings, incarnation), incarnation).expect("daemon");
     second.ready().await;
     world.publish("booking", ClassTarget::plain(Millis(777))).await;
     in_force(&first, 777).await;
--- a/crates/standins/tests/e2e/stalled.rs
+++ b/crates/standins/tests/e2e/stalled.rs
@@ -9,7 +9,7 @@
     CachePage, ConnectionReuse, DecodeCall, EngineClient, EngineFailure, EngineLoad, HeldMemory, ImportCall,
     Imported, Owner, PrefillCall, Prefilled, StreamPart, TokenStream,
 };
-use hibiscusvale::daemon::{Daemon, Edges, new_incarnation};
+use hibiscusvale::daemon::{Daemon, ExternalSystems, new_incarnation};
 use hibiscusvale_core::order::{Order, OrderOutcome};
 use hibiscusvale_core::units::Millis;
 use tokio::io::AsyncWriteExt;
@@ -84,10 +84,10 @@
     let mut settings = world.settings("entry-1", &[]);
     settings.limits.stall_timeout_ms = Millis(200);
     let incarnation = new_incarnation();
-    let edges = Edges::new(&settings, incarnation);
+    let edges = ExternalSystems::new(&settings, incarnation);
     let (cancelled, mut is_cancelled) = watch::channel(false);
     let engines = Arc::new(Eager { engines: Arc::clone(&edges.engines), cancelled });
-    let daemon = Daemon::start(&settings, Edges { engines, ..edges }, incarnation).expect("daemon");
+    let daemon = Daemon::start(&settings, ExternalSystems { engines, ..edges }, incarnation).expect("daemon");
     daemon.ready().await;
 
     let socket = TcpSocket::new_v4().expect("socket");
--- a/crates/standins/tests/e2e/world.rs
+++ b/crates/standins/tests/e2e/world.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use ed25519_dalek::SigningKey;
-use hibiscusvale::daemon::{Daemon, Edges, new_incarnation};
+use hibiscusvale::daemon::{Daemon, ExternalSystems, new_incarnation};
 use hibiscusvale::external::{HttpLog, HttpLogSettings, Log, Stream};
 use hibiscusvale::settings::{Settings, TokenHash};
 use hibiscusvale_core::config::{ChangeBody, ClassChange, ClassTarget, Record};
@@ -116,8 +116,8 @@
         let seeds: Vec<_> = others.iter().map(|daemon| daemon.peer_address()).collect();
         let settings = self.settings(host, &seeds);
         let incarnation = new_incarnation();
-        let daemon =
-            Daemon::start(&settings, Edges::new(&settings, incarnation), incarnation).expect("daemon");
+        let daemon = Daemon::start(&settings, ExternalSystems::new(&settings, incarnation), incarnation)
+            .expect("daemon");
         self.standins.hosts.change(HostChange { set: vec![entry(host, &daemon)], remove: Vec::new() });
         daemon.ready().await;
         daemon
