--- a/crates/client/src/classes.rs
+++ b/crates/client/src/classes.rs
@@ -1,4 +1,4 @@
-//! Class files: the classes of a partner with their targets, as TOML.
+//! Class files: a partner's classes with their targets, in TOML.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -10,10 +10,10 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-use crate::context::{bad_toml, line_at, read};
+use crate::context::{line_number, read_text, toml_error};
 use crate::error::ClientError;
 
-/// The classes in a file.
+/// Targets by class name.
 pub type Classes = BTreeMap<ClassName, ClassTarget>;
 
 #[derive(Deserialize)]
@@ -22,8 +22,8 @@
     classes: BTreeMap<ClassName, Spanned<ClassEntry>>,
 }
 
-/// A class as it is written. The kind is a key of its own and not serde's tag, so that an unknown key beside it
-/// is refused.
+/// Class entry of the file. `kind` is a plain field rather than serde's enum tag, so that unknown keys in the entry are
+/// rejected.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ClassEntry {
@@ -40,35 +40,38 @@
     Plain,
 }
 
-/// Reads and checks a class file.
+/// Reads and validates a class file.
 ///
 /// # Errors
 ///
-/// [`ClientError::Read`] or [`ClientError::BadFile`] with the line.
+/// [`ClientError::Read`] if the file cannot be read, [`ClientError::BadFile`] with the line if it is not valid.
 pub fn load(path: &Path) -> Result<Classes, ClientError> {
-    let text = read(path)?;
+    let text = read_text(path)?;
     parse(path, &text)
 }
 
-/// Checks the text of a class file; `path` is what errors name.
+/// Parses and validates the text of a class file; `path` is used in error messages.
 ///
 /// # Errors
 ///
-/// [`ClientError::BadFile`] with the line.
+/// [`ClientError::BadFile`] with the line if the text is not valid.
 pub fn parse(path: &Path, text: &str) -> Result<Classes, ClientError> {
-    let file: ClassFile = toml::from_str(text).map_err(|error| bad_toml(path, text, &error))?;
+    let file: ClassFile = toml::from_str(text).map_err(|error| toml_error(path, text, &error))?;
     if file.classes.len() > MAX_CHANGES_PER_RECORD {
-        return Err(bad_file(
+        return Err(invalid_file(
             path,
             None,
-            format!("has {} classes, at most {MAX_CHANGES_PER_RECORD} are taken at once", file.classes.len()),
+            format!(
+                "has {} classes, at most {MAX_CHANGES_PER_RECORD} are accepted per file",
+                file.classes.len()
+            ),
         ));
     }
     let classes = file.classes.into_iter().map(|(class, entry)| {
-        let line = line_at(text, entry.span().start);
+        let line = line_number(text, entry.span().start);
         let target = target(entry.get_ref())
             .and_then(|target| target.check().map(|()| target).map_err(|error| error.to_string()))
-            .map_err(|message| bad_file(path, Some(line), format!("class {class}: {message}")))?;
+            .map_err(|message| invalid_file(path, Some(line), format!("class {class}: {message}")))?;
         Ok((class, target))
     });
     classes.collect()
@@ -85,18 +88,18 @@
     Ok(target)
 }
 
-fn bad_file(path: &Path, line: Option<usize>, message: String) -> ClientError {
+fn invalid_file(path: &Path, line: Option<usize>, message: String) -> ClientError {
     ClientError::BadFile { path: path.to_owned(), line, message }
 }
 
-/// Writes classes as a class file.
+/// Formats classes as a class file.
 pub fn write<'a, List>(classes: List) -> String
 where
     List: IntoIterator<Item = (&'a ClassName, TargetView)>,
 {
     let mut text = String::new();
     for (class, target) in classes {
-        // Writing to a text cannot fail.
+        // Writing to a `String` cannot fail.
         let _ = match target {
             TargetView::Language { first_token_ms, per_token_ms } => writeln!(
                 text,
--- a/crates/client/src/cmd/completions.rs
+++ b/crates/client/src/cmd/completions.rs
@@ -6,7 +6,7 @@
 use crate::manual::{self, Shell};
 use crate::report::Report;
 
-/// Prints completions for a shell.
+/// Prints the completion script for a shell.
 #[derive(Debug, Options)]
 pub struct Completions {
     #[options(help = "print this help")]
--- a/crates/client/src/cmd/delete.rs
+++ b/crates/client/src/cmd/delete.rs
@@ -10,14 +10,14 @@
 use crate::publisher::Publisher;
 use crate::report::Report;
 
-/// Deletes classes, all or none.
+/// Deletes classes in one change: all of them or none.
 #[derive(Debug, Options)]
 pub struct Delete {
     #[options(help = "print this help")]
     help: bool,
     #[options(free, help = "classes to delete")]
     classes: Vec<ClassName>,
-    #[options(no_short, help = "return when one host has it in force")]
+    #[options(no_short, help = "return once one host has the change in force")]
     no_wait: bool,
     #[options(no_short, meta = "MS", help = "how long to wait; default 10000")]
     timeout_ms: Option<u64>,
--- a/crates/client/src/cmd/history.rs
+++ b/crates/client/src/cmd/history.rs
@@ -9,12 +9,12 @@
 use crate::hosts::newest_config;
 use crate::report::{Report, age, or_dash, table};
 
-/// Shows who changed what, and what was rejected.
+/// Shows published changes with their authors and verdicts.
 #[derive(Debug, Options)]
 pub struct History {
     #[options(help = "print this help")]
     help: bool,
-    #[options(no_short, help = "of all partners")]
+    #[options(no_short, help = "include all partners")]
     all: bool,
 }
 
@@ -37,7 +37,7 @@
                 or_dash(change.author.as_deref()),
                 age(now_unix_ms.saturating_sub(change.made_at_unix_ms)),
                 verdict(&change.verdict),
-                what(change),
+                describe_changes(change),
             ]);
         }
     }
@@ -45,7 +45,7 @@
     for record in &view.unattributed {
         let claimed = or_dash(record.claimed_publisher.as_ref());
         lines.push(format!(
-            "offset {}: not counted, claims to be from {claimed}: {}",
+            "offset {}: ignored, claims to be from {claimed}: {}",
             record.offset, record.reason
         ));
     }
@@ -60,11 +60,11 @@
     }
 }
 
-fn what(change: &ChangeView) -> String {
+fn describe_changes(change: &ChangeView) -> String {
     let shown = u32::try_from(change.changes.len()).unwrap_or(u32::MAX);
-    let words = change.changes.join("; ");
+    let descriptions = change.changes.join("; ");
     match change.changes_total.saturating_sub(shown) {
-        0 => words,
-        more => format!("{words}; and {more} more"),
+        0 => descriptions,
+        more => format!("{descriptions}; and {more} more"),
     }
 }
--- a/crates/client/src/cmd/keygen.rs
+++ b/crates/client/src/cmd/keygen.rs
@@ -14,21 +14,21 @@
 use crate::error::{ClientError, UsageError};
 use crate::report::Report;
 
-/// A secret is for its owner's eyes only.
+/// Mode of secret files: accessible to the owner only.
 const SECRET_MODE: u32 = 0o600;
 
-/// Makes a partner's publishing key, a caller's bearer token or the daemons' shared key.
+/// Generates a partner's publishing key, a caller's bearer token or the daemons' shared key.
 #[derive(Debug, Options)]
 pub struct Keygen {
     #[options(help = "print this help")]
     help: bool,
     #[options(free, required, help = "publish, token or peers")]
     kind: String,
-    #[options(meta = "FILE", help = "write the secret here instead of printing it; must not exist")]
+    #[options(meta = "FILE", help = "file to write the secret to instead of printing it; must not exist")]
     out: Option<PathBuf>,
 }
 
-/// The kinds of key.
+/// Kind of secret to generate.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Kind {
     Publish,
@@ -46,7 +46,7 @@
 
 impl Keygen {
     pub(super) fn run(&self) -> anyhow::Result<Report> {
-        let kind = kind(&self.kind)?;
+        let kind = parse_kind(&self.kind)?;
         let bytes: [u8; 32] = rand::rng().random();
         let secret = blake3::Hash::from_bytes(bytes).to_hex().to_string();
         let public = match kind {
@@ -66,7 +66,7 @@
     }
 }
 
-fn kind(text: &str) -> Result<Kind, ClientError> {
+fn parse_kind(text: &str) -> Result<Kind, ClientError> {
     match text {
         "publish" => Ok(Kind::Publish),
         "token" => Ok(Kind::Token),
@@ -75,8 +75,8 @@
     }
 }
 
-/// Writes a secret to a new file. An existing one is left alone: a key that is overwritten cannot be had back,
-/// and its partner could publish nothing more.
+/// Writes a secret to a new file. Never overwrites an existing one: a lost key cannot be recovered, and its partner could
+/// no longer publish.
 fn write_secret(path: &Path, secret: &str) -> anyhow::Result<()> {
     let mut file = OpenOptions::new()
         .write(true)
--- a/crates/client/src/cmd/list.rs
+++ b/crates/client/src/cmd/list.rs
@@ -11,14 +11,14 @@
 use crate::hosts::newest_config;
 use crate::report::{Report, table};
 
-/// Lists the classes in force.
+/// Lists the classes in force with their targets.
 #[derive(Debug, Options)]
 pub struct List {
     #[options(help = "print this help")]
     help: bool,
-    #[options(no_short, help = "of all partners")]
+    #[options(no_short, help = "include all partners")]
     all: bool,
-    #[options(no_short, help = "as a class file, to keep or to publish again")]
+    #[options(no_short, help = "print a class file that can be published again")]
     toml: bool,
 }
 
--- a/crates/client/src/cmd/logs.rs
+++ b/crates/client/src/cmd/logs.rs
@@ -1,11 +1,11 @@
-//! Log files named on the command line.
+//! Reads the log files given on the command line.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
 use crate::error::ClientError;
 
-/// A log and the host that its file is named after.
+/// Content of a log file with the host's name, which is the file name without its extension.
 pub(super) struct LogFile {
     pub(super) host: String,
     pub(super) text: String,
@@ -15,7 +15,8 @@
     paths.iter().map(|path| read(path)).collect()
 }
 
-/// Bytes that are no text come from a disk that failed or a line that was cut; the other lines still count.
+/// Reads one log. Bytes that are not UTF-8, from a disk fault or a truncated line, are replaced so that the other lines
+/// are still read.
 fn read(path: &Path) -> Result<LogFile, ClientError> {
     let bytes = fs::read(path).map_err(|source| ClientError::Read { path: path.to_owned(), source })?;
     let host = path.file_stem().map(|stem| stem.to_string_lossy().into_owned()).unwrap_or_default();
--- a/crates/client/src/cmd/losses.rs
+++ b/crates/client/src/cmd/losses.rs
@@ -7,17 +7,17 @@
 use gumdrop::Options;
 
 use crate::error::ClientError;
-use crate::losses::{self, Ending, Endings, Targets};
 use crate::report::Report;
+use crate::stream_outcomes::{self, OutcomeCounts, StreamOutcome, Targets};
 
-/// Counts what streams came to, from logs alone.
+/// Counts stream outcomes in log files.
 #[derive(Debug, Options)]
 pub struct Losses {
     #[options(help = "print this help")]
     help: bool,
     #[options(no_short, meta = "MS", default = "900", help = "target for the first event")]
     first_event_ms: u64,
-    #[options(no_short, meta = "MS", default = "300", help = "longest pause between events in aim")]
+    #[options(no_short, meta = "MS", default = "300", help = "target for the longest pause between events")]
     pause_ms: u64,
     #[options(free, required, help = "log files")]
     files: Vec<PathBuf>,
@@ -27,26 +27,26 @@
     pub(super) fn run(&self) -> Result<Report, ClientError> {
         let logs = super::logs::read_all(&self.files)?;
         let targets = Targets { first_event_ms: self.first_event_ms, pause_ms: self.pause_ms };
-        let losses = losses::count(logs.iter().map(|log| log.text.as_str()), targets);
-        let endings: Vec<&Ending> = losses.all.keys().collect();
-        let all = BTreeMap::from([("all", losses.all.clone())]);
+        let outcomes = stream_outcomes::count(logs.iter().map(|log| log.text.as_str()), targets);
+        let columns: Vec<&StreamOutcome> = outcomes.all.keys().collect();
+        let all = BTreeMap::from([("all", outcomes.all.clone())]);
         let tables = [
-            table("streams", &endings, &all),
-            table("from second", &endings, &losses.seconds),
-            table("asked last", &endings, &losses.servers),
+            table("streams", &columns, &all),
+            table("second of arrival", &columns, &outcomes.seconds),
+            table("last server", &columns, &outcomes.servers),
         ];
-        Ok(Report::new(&losses, tables.join("\n\n")))
+        Ok(Report::new(&outcomes, tables.join("\n\n")))
     }
 }
 
-fn table<Key>(title: &str, endings: &[&Ending], rows: &BTreeMap<Key, Endings>) -> String
+fn table<Key>(title: &str, columns: &[&StreamOutcome], rows: &BTreeMap<Key, OutcomeCounts>) -> String
 where
     Key: Display,
 {
-    let heads = endings.iter().map(|ending| ending.label());
-    let mut lines = vec![row(title, heads)];
+    let headers = columns.iter().map(|outcome| outcome.label());
+    let mut lines = vec![row(title, headers)];
     for (key, counts) in rows {
-        let counts = endings.iter().map(|ending| counts.get(*ending).copied().unwrap_or_default());
+        let counts = columns.iter().map(|outcome| counts.get(*outcome).copied().unwrap_or_default());
         lines.push(row(key, counts));
     }
     lines.join("\n")
--- a/crates/client/src/cmd/members.rs
+++ b/crates/client/src/cmd/members.rs
@@ -9,7 +9,7 @@
 use crate::hosts::{answered, ask_all};
 use crate::report::{Report, table};
 
-/// Lists the daemons that each host knows.
+/// Lists the members of the system as seen by each host.
 #[derive(Debug, Options)]
 pub struct Members {
     #[options(help = "print this help")]
@@ -25,17 +25,17 @@
     }
 }
 
-/// One table where the hosts agree, which they do unless something is cut off.
+/// Formats one table per distinct member list. Hosts have the same list unless the network is partitioned.
 fn human(views: &[MembersListView]) -> String {
     let mut parts: Vec<String> = Vec::new();
-    let mut shown: Vec<(&MembersListView, Vec<&MembersListView>)> = Vec::new();
+    let mut distinct: Vec<(&MembersListView, Vec<&MembersListView>)> = Vec::new();
     for view in views {
-        match shown.iter_mut().find(|(first, _)| first.members == view.members) {
+        match distinct.iter_mut().find(|(first, _)| first.members == view.members) {
             Some((_, same)) => same.push(view),
-            None => shown.push((view, vec![view])),
+            None => distinct.push((view, vec![view])),
         }
     }
-    for (view, same) in shown {
+    for (view, same) in distinct {
         let hosts: Vec<_> = same.iter().map(|view| view.host.to_string()).collect();
         let rows: Vec<_> = view.members.iter().map(row).collect();
         let headers = ["HOST", "DATA CENTRE", "REGION", "INCARNATION", "STATE"];
--- a/crates/client/src/cmd/mod.rs
+++ b/crates/client/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line of the client.
 
 mod completions;
 mod delete;
@@ -31,34 +31,34 @@
 /// Arguments of `hibiscusvale`.
 #[derive(Debug, Options)]
 pub struct Args {
-    /// Whether help was asked for; the parser answers it.
+    /// Whether to print the help; handled by the parser.
     #[options(help = "print this help")]
     pub help: bool,
-    /// Whether the version was asked for.
+    /// Whether to print the version.
     #[options(no_short, help = "print the version")]
     pub version: bool,
-    /// Whether to print for scripts.
+    /// Whether to print JSON instead of text.
     #[options(no_short, help = "print JSON")]
     pub json: bool,
-    /// The client's settings.
+    /// Path of the client's settings file.
     #[options(meta = "FILE", help = "client settings; default is $HIBISCUSVALE_CONFIG")]
     pub config: Option<PathBuf>,
-    /// The platform's log.
+    /// Address of the platform's log.
     #[options(no_short, meta = "IP:PORT", help = "address of the platform's log")]
     pub log: Option<SocketAddr>,
-    /// Daemons.
-    #[options(no_short, meta = "IP:PORT", help = "operator address of a daemon; may be given again")]
+    /// Operator addresses of the daemons.
+    #[options(no_short, meta = "IP:PORT", help = "operator address of a daemon; may be repeated")]
     pub host: Vec<SocketAddr>,
-    /// The partner.
+    /// Partner whose classes are managed.
     #[options(no_short, meta = "NAME", help = "the partner whose classes are managed")]
     pub partner: Option<PartnerId>,
-    /// The partner's secret key.
+    /// Path of the partner's secret key.
     #[options(no_short, meta = "FILE", help = "file with the partner's secret key")]
     pub key_file: Option<PathBuf>,
-    /// Who changes things.
-    #[options(no_short, meta = "NAME", help = "who changes things, for the history")]
+    /// Author recorded in the history.
+    #[options(no_short, meta = "NAME", help = "author recorded in the history")]
     pub author: Option<String>,
-    /// What to do.
+    /// Command to run.
     #[options(command)]
     pub command: Option<Command>,
 }
@@ -66,74 +66,74 @@
 /// The commands.
 #[derive(Debug, Options)]
 pub enum Command {
-    /// Shell completions.
+    /// Prints shell completions.
     #[options(help = "print completions for a shell")]
     Completions(completions::Completions),
     /// Deletes classes.
     #[options(help = "delete classes")]
     Delete(delete::Delete),
-    /// Who changed what.
-    #[options(help = "show who changed what, and what was rejected")]
+    /// Shows the history of changes.
+    #[options(help = "show published changes with their authors and verdicts")]
     History(history::History),
-    /// Makes keys.
-    #[options(help = "make a key or a token")]
+    /// Generates keys.
+    #[options(help = "generate a key or a token")]
     Keygen(keygen::Keygen),
     /// Lists classes.
     #[options(help = "list the classes in force")]
     List(list::List),
-    /// Counts what streams came to.
-    #[options(help = "count what streams came to, from log files")]
+    /// Counts stream outcomes.
+    #[options(help = "count stream outcomes in log files")]
     Losses(losses::Losses),
-    /// Man pages.
+    /// Prints man pages.
     #[options(help = "print a man page")]
     Man(man::Man),
-    /// Lists daemons.
-    #[options(help = "list the daemons that a host knows")]
+    /// Lists members.
+    #[options(help = "list the members of the system as seen by each host")]
     Members(members::Members),
-    /// Counts by partner and class.
+    /// Shows outcome counters by partner and class.
     #[options(help = "show goodput, wasted prefill, refusals and retries")]
     Outcomes(outcomes::Outcomes),
     /// Publishes classes.
     #[options(help = "publish classes and targets")]
     Publish(publish::Publish),
-    /// What is in force where.
-    #[options(help = "show what is in force on which host")]
+    /// Shows the state of each host.
+    #[options(help = "show the version in force and the state of each host")]
     Status(status::Status),
-    /// Tells a request's story.
-    #[options(help = "tell what became of a request, from log files")]
+    /// Traces a request.
+    #[options(help = "trace a request through log files")]
     Story(story::Story),
-    /// Checks a class file.
-    #[options(help = "check a class file")]
+    /// Validates a class file.
+    #[options(help = "validate a class file")]
     Validate(validate::Validate),
     /// Waits for a version.
     #[options(help = "wait until a version is in force on every host")]
     Wait(wait::Wait),
-    /// Explains a request.
-    #[options(help = "explain what became of a request")]
+    /// Explains the outcome of a request.
+    #[options(help = "explain the outcome of a request")]
     Why(why::Why),
 }
 
 impl Args {
-    /// Reads the command line; ends the process when it asks for help or is not understood.
+    /// Parses the command line; exits the process after printing help or a usage error.
     pub fn parse() -> Self {
         Self::parse_args_default_or_exit()
     }
 
-    /// Does what the command line says.
+    /// Runs the command.
     ///
     /// # Errors
     ///
-    /// Whatever went wrong, for [`exit_code`](crate::error::exit_code).
+    /// The error of the command, for [`exit_code`](crate::error::exit_code).
     pub fn run(self) -> anyhow::Result<Report> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         runtime.block_on(self.execute())
     }
 
-    /// Does what the command line says, on the caller's runtime.
+    /// Runs the command on the caller's runtime.
     ///
     /// # Errors
     ///
-    /// Whatever went wrong.
+    /// The error of the command.
     pub async fn execute(self) -> anyhow::Result<Report> {
         if self.version {
             return Ok(Report::raw(format!("hibiscusvale {}", env!("CARGO_PKG_VERSION"))));
@@ -177,7 +177,7 @@
     }
 }
 
-/// All commands with their usage, for the man page and the completions.
+/// Documentation of all commands, for the man page and the completions.
 pub fn command_docs() -> Vec<CommandDoc> {
     let names = Command::command_list().unwrap_or_default();
     let docs = names.lines().filter_map(|line| {
@@ -188,7 +188,7 @@
     docs.collect()
 }
 
-/// Usage of the options that stand before a command.
+/// Usage text of the global options.
 pub fn global_usage() -> &'static str {
     Args::usage()
 }
--- a/crates/client/src/cmd/outcomes.rs
+++ b/crates/client/src/cmd/outcomes.rs
@@ -18,7 +18,7 @@
 pub struct Outcomes {
     #[options(help = "print this help")]
     help: bool,
-    #[options(no_short, help = "of all partners")]
+    #[options(no_short, help = "include all partners")]
     all: bool,
 }
 
@@ -85,11 +85,11 @@
         "REFUSALS",
         "RETRIES",
     ];
-    format!("{}\nsince each of {} host(s) started", table(headers, &rows), view.hosts)
+    format!("{}\ncounted since the start of each of {} host(s)", table(headers, &rows), view.hosts)
 }
 
 fn row(class: &ClassOutcomes) -> [String; 9] {
-    let of = |label: &str| {
+    let outcome_count = |label: &str| {
         let found = class.outcomes.iter().find(|count| count.label == label);
         found.map_or(0, |count| count.count)
     };
@@ -98,9 +98,9 @@
     [
         class.partner.to_string(),
         class.class.to_string(),
-        of("answered").to_string(),
-        of("not-run").to_string(),
-        of("unknown").to_string(),
+        outcome_count("answered").to_string(),
+        outcome_count("not-run").to_string(),
+        outcome_count("unknown").to_string(),
         percent(class.goodput, total),
         percent(wasted, class.prefill_tokens.0),
         counts(&class.refusals),
@@ -119,6 +119,6 @@
     if counts.is_empty() {
         return "-".to_owned();
     }
-    let words = counts.iter().map(|count| format!("{} {}", count.label, count.count));
-    words.collect::<Vec<_>>().join(", ")
+    let labelled = counts.iter().map(|count| format!("{} {}", count.label, count.count));
+    labelled.collect::<Vec<_>>().join(", ")
 }
--- a/crates/client/src/cmd/publish.rs
+++ b/crates/client/src/cmd/publish.rs
@@ -24,11 +24,11 @@
     class: Option<ClassName>,
     #[options(no_short, meta = "MS", help = "target for the first token")]
     first_token_ms: Option<u64>,
-    #[options(no_short, meta = "MS", help = "target between tokens, on average over a request")]
+    #[options(no_short, meta = "MS", help = "target for the mean time between tokens of a request")]
     per_token_ms: Option<u64>,
-    #[options(no_short, meta = "MS", help = "target for the whole answer of a plain service")]
+    #[options(no_short, meta = "MS", help = "target for the complete response of a plain service")]
     response_ms: Option<u64>,
-    #[options(no_short, help = "return when one host has it in force")]
+    #[options(no_short, help = "return once one host has the change in force")]
     no_wait: bool,
     #[options(no_short, meta = "MS", help = "how long to wait; default 10000")]
     timeout_ms: Option<u64>,
@@ -64,18 +64,18 @@
     }
 }
 
-/// How to publish, from the options that publishing commands share.
+/// Publish options from the flags that the publishing commands share.
 pub(super) fn options(no_wait: bool, timeout_ms: Option<u64>) -> PublishOptions {
     let defaults = PublishOptions::default();
     PublishOptions { waits: !no_wait, timeout_ms: timeout_ms.map_or(defaults.timeout_ms, Millis) }
 }
 
-/// What publishing did, in words.
+/// Report for the result of publishing.
 pub(super) fn report(published: &Published) -> Report {
     let human = match published {
-        Published::Unchanged => "nothing to do: all of it is in force already".to_owned(),
+        Published::Unchanged => "nothing to publish: all targets are in force already".to_owned(),
         Published::Accepted { change_id, offset, changes, hosts_in_force } => format!(
-            "{}\nchange {change_id} stands at offset {offset}, in force on {hosts_in_force} host(s)",
+            "{}\nchange {change_id} accepted at offset {offset}, in force on {hosts_in_force} host(s)",
             changes.join("\n")
         ),
     };
--- a/crates/client/src/cmd/status.rs
+++ b/crates/client/src/cmd/status.rs
@@ -13,7 +13,7 @@
 use crate::hosts::{HostAnswer, ask_all};
 use crate::report::{Report, table};
 
-/// Shows what is in force on which host.
+/// Shows the version in force and the state of each host.
 #[derive(Debug, Options)]
 pub struct Status {
     #[options(help = "print this help")]
@@ -55,7 +55,7 @@
     Ok(View { hosts, silent, warnings })
 }
 
-/// What an operator has to look into.
+/// Conditions that need the operator's attention.
 fn warnings(hosts: &[StatusView]) -> Vec<String> {
     let mut warnings = Vec::new();
     let mut states = BTreeMap::<Offset, &StatusView>::new();
@@ -68,10 +68,12 @@
             ));
         }
         match host.log {
-            LogStateView::Gap => warnings
-                .push(format!("{} misses records that expired; it needs a peer or a checkpoint", host.host)),
+            LogStateView::Gap => warnings.push(format!(
+                "{} lacks records that expired from the log; it needs a peer or a checkpoint",
+                host.host
+            )),
             LogStateView::Shorter => warnings.push(format!(
-                "{} has more in force than the log holds: the log was shortened or emptied",
+                "{} has a newer version in force than the log holds: the log was shortened or emptied",
                 host.host
             )),
             LogStateView::Unread | LogStateView::CaughtUp | LogStateView::Behind => {}
@@ -90,7 +92,7 @@
             host.data_centre.to_string(),
             host.next_offset.to_string(),
             host.state.chars().take(8).collect(),
-            log_word(host.log).to_owned(),
+            log_label(host.log).to_owned(),
             if host.is_reader { "yes" } else { "no" }.to_owned(),
             host.hosts_live.to_string(),
             format!("{}/{}", host.requests_in_flight, host.requests_queued),
@@ -125,7 +127,7 @@
     lines.join("\n")
 }
 
-fn log_word(log: LogStateView) -> &'static str {
+fn log_label(log: LogStateView) -> &'static str {
     match log {
         LogStateView::Unread => "-",
         LogStateView::CaughtUp => "caught up",
--- a/crates/client/src/cmd/story.rs
+++ b/crates/client/src/cmd/story.rs
@@ -6,14 +6,14 @@
 
 use crate::error::ClientError;
 use crate::report::Report;
-use crate::story::{self, HostLog};
+use crate::request_trace::{self, HostLog};
 
-/// Tells what became of a request, from logs alone.
+/// Traces a request through log files.
 #[derive(Debug, Options)]
 pub struct Story {
     #[options(help = "print this help")]
     help: bool,
-    #[options(free, required, help = "the caller's name for the try, or the relay's")]
+    #[options(free, required, help = "call id from the caller, or request id from the relay")]
     id: String,
     #[options(free, help = "log files, each named after its host")]
     files: Vec<PathBuf>,
@@ -24,35 +24,35 @@
         let files = super::logs::read_all(&self.files)?;
         let logs: Vec<HostLog<'_>> =
             files.iter().map(|log| HostLog { host: &log.host, text: &log.text }).collect();
-        let stories = story::find(&self.id, &logs);
-        if stories.is_empty() {
+        let traces = request_trace::find(&self.id, &logs);
+        if traces.is_empty() {
             return Err(ClientError::NotLogged { id: self.id.clone(), files: self.files.len() });
         }
-        let human: Vec<String> = stories.iter().map(human).collect();
-        Ok(Report::new(&stories, human.join("\n\n")))
+        let human: Vec<String> = traces.iter().map(human).collect();
+        Ok(Report::new(&traces, human.join("\n\n")))
     }
 }
 
-fn human(story: &story::Story) -> String {
+fn human(trace: &request_trace::RequestTrace) -> String {
     let mut lines = vec![format!(
-        "try {} ({}) on route {}, taken in by {}: {} after {} ms",
-        story.call, story.request_id, story.route, story.host, story.outcome, story.took_ms
+        "attempt {} ({}) on route {}, received by {}: {} after {} ms",
+        trace.call, trace.request_id, trace.route, trace.host, trace.outcome, trace.took_ms
     )];
-    for step in &story.steps {
+    for step in &trace.steps {
         let end = if step.cause.is_empty() { "done" } else { &step.cause };
         lines.push(format!("{:>8} ms  {} at {}: {end}", step.after_ms, step.what, step.server));
     }
-    if story.steps.is_empty() {
-        lines.push("            no server was asked, or none that failed".to_owned());
+    if trace.steps.is_empty() {
+        lines.push("            no server was called, or no call failed".to_owned());
     }
-    if !story.news.is_empty() {
-        lines.push(format!("{} learned, by its own clock:", story.host));
+    if !trace.news.is_empty() {
+        lines.push(format!("events at {}, by its own clock:", trace.host));
     }
-    for news in &story.news {
-        lines.push(format!("{:>8} ms  {}", news.after_ms, news.what));
+    for event in &trace.news {
+        lines.push(format!("{:>8} ms  {}", event.after_ms, event.what));
     }
-    if story.left_out > 0 {
-        lines.push(format!("{} lines of requests were left out there meanwhile", story.left_out));
+    if trace.left_out > 0 {
+        lines.push(format!("{} request lines were dropped by this host in the same period", trace.left_out));
     }
     lines.join("\n")
 }
--- a/crates/client/src/cmd/validate.rs
+++ b/crates/client/src/cmd/validate.rs
@@ -9,7 +9,7 @@
 use crate::error::ClientError;
 use crate::report::Report;
 
-/// Checks a class file.
+/// Validates a class file.
 #[derive(Debug, Options)]
 pub struct Validate {
     #[options(help = "print this help")]
@@ -26,7 +26,7 @@
 impl Validate {
     pub(super) fn run(&self) -> Result<Report, ClientError> {
         let classes = classes::load(&self.file)?.len();
-        let human = format!("{} is in order: {classes} classes", self.file.display());
+        let human = format!("{} is valid: {classes} classes", self.file.display());
         Ok(Report::new(&View { classes }, human))
     }
 }
--- a/crates/client/src/cmd/wait.rs
+++ b/crates/client/src/cmd/wait.rs
@@ -16,7 +16,7 @@
 use crate::publisher::{PublishOptions, wait_in_force};
 use crate::report::Report;
 
-/// Waits until a version is in force on every host.
+/// Waits until a version is in force on all hosts.
 #[derive(Debug, Options)]
 pub struct Wait {
     #[options(help = "print this help")]
@@ -24,7 +24,7 @@
     #[options(
         no_short,
         meta = "OFFSET",
-        help = "the record to wait for; default is the newest in force anywhere"
+        help = "record to wait for; default is the newest in force on any host"
     )]
     offset: Option<Offset>,
     #[options(no_short, meta = "MS", help = "how long to wait; default 10000")]
@@ -42,7 +42,7 @@
         let client = OperatorClient::default();
         let offset = match self.offset {
             Some(offset) => offset,
-            None => newest(&client, context).await?,
+            None => newest_in_force(&client, context).await?,
         };
         let timeout_ms = self.timeout_ms.map_or(PublishOptions::default().timeout_ms, Millis);
         let until = Instant::now() + Duration::from(timeout_ms);
@@ -52,8 +52,8 @@
     }
 }
 
-/// The newest record that any host has in force.
-async fn newest(client: &OperatorClient, context: &Context) -> Result<Offset, ClientError> {
+/// Offset of the newest record in force on any host.
+async fn newest_in_force(client: &OperatorClient, context: &Context) -> Result<Offset, ClientError> {
     let answers = ask_all::<StatusView>(client, context.hosts()?, "/control/status").await;
     let newest = answered(answers)?.into_iter().map(|status| status.next_offset).max();
     Ok(Offset(newest.unwrap_or_default().0.saturating_sub(1)))
--- a/crates/client/src/cmd/why.rs
+++ b/crates/client/src/cmd/why.rs
@@ -10,12 +10,12 @@
 use crate::hosts::{HostAnswer, answered, ask_all};
 use crate::report::{Report, or_dash};
 
-/// Explains what became of a request.
+/// Explains the outcome of a request.
 #[derive(Debug, Options)]
 pub struct Why {
     #[options(help = "print this help")]
     help: bool,
-    #[options(free, required, help = "the x-request-id of the answer")]
+    #[options(free, required, help = "x-request-id of the answer")]
     request_id: Option<RequestId>,
 }
 
@@ -25,25 +25,25 @@
         let client = OperatorClient::default();
         let path = format!("/control/why/{request_id}");
         let answers = ask_all::<RequestView>(&client, context.hosts()?, &path).await;
-        let is_known_nowhere = answers.iter().any(has_answered_no);
+        let was_not_found = answers.iter().any(is_not_found);
         match answered(answers) {
             Ok(views) => views
                 .first()
                 .map(|view| Report::new(view, human(view)))
                 .ok_or(ClientError::NotFound { request_id }),
-            Err(_) if is_known_nowhere => Err(ClientError::NotFound { request_id }),
+            Err(_) if was_not_found => Err(ClientError::NotFound { request_id }),
             Err(error) => Err(error),
         }
     }
 }
 
-fn has_answered_no(answer: &HostAnswer<RequestView>) -> bool {
+fn is_not_found(answer: &HostAnswer<RequestView>) -> bool {
     matches!(answer.view, Err(OperatorClientError::NotFound))
 }
 
 fn human(view: &RequestView) -> String {
     let mut lines = vec![format!(
-        "request {} of {} in class {}, taken in by {}\noutcome: {}{} after {}",
+        "request {} of {} in class {}, received by {}\noutcome: {}{} after {}",
         view.request_id,
         or_dash(view.partner.as_ref()),
         or_dash(view.class.as_ref()),
--- a/crates/client/src/error.rs
+++ b/crates/client/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong, what an operator does next, and the exit code that tells a script.
+//! Errors of the client, with the operator's next step, and their exit codes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,28 +8,25 @@
 use hibiscusvale::operators::OperatorClientError;
 use hibiscusvale_core::ids::{ChangeId, Offset};
 
-/// Exit codes and what they mean. They are part of the interface; scripts rely on them.
+/// Exit codes with their meaning. Scripts rely on them, so they are a stable part of the interface.
 pub const EXIT_CODES: [ExitCodeDoc; 9] = [
-    ExitCodeDoc::new(0, "done"),
-    ExitCodeDoc::new(1, "another failure, such as a file that cannot be written"),
-    ExitCodeDoc::new(
-        2,
-        "the command line, a class file or the client's settings cannot be used; nothing changed",
-    ),
+    ExitCodeDoc::new(0, "success"),
+    ExitCodeDoc::new(1, "other failure, such as a file that cannot be written"),
+    ExitCodeDoc::new(2, "invalid command line, class file or client settings; nothing changed"),
     ExitCodeDoc::new(3, "no host answered"),
     ExitCodeDoc::new(4, "the change was rejected; nothing changed"),
-    ExitCodeDoc::new(5, "the log did not take the change; nothing changed"),
-    ExitCodeDoc::new(6, "it is not known whether the change counts"),
-    ExitCodeDoc::new(7, "not in force on every host in time"),
+    ExitCodeDoc::new(5, "the log did not accept the change; nothing changed"),
+    ExitCodeDoc::new(6, "unknown whether the change took effect"),
+    ExitCodeDoc::new(7, "not in force on every host before the timeout"),
     ExitCodeDoc::new(8, "not found"),
 ];
 
 /// An exit code with its meaning.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ExitCodeDoc {
-    /// The code.
+    /// Exit code of the process.
     pub code: u8,
-    /// When it is returned.
+    /// Condition under which it is returned.
     pub meaning: &'static str,
 }
 
@@ -39,172 +36,177 @@
     }
 }
 
-const EXIT_OTHER: u8 = 1;
+/// Exit code of errors that are not a [`ClientError`].
+const EXIT_FAILURE: u8 = 1;
 
-/// A failure of the client. Each says what to do next.
+/// An error of the client. Its message names the operator's next step.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
     /// A file could not be read.
     #[error("could not read {}", path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Cause reported by the system.
         source: io::Error,
     },
-    /// A file is not what it should be.
+    /// The content of a file is not valid.
     #[error("{}{}: {message}", path.display(), line.map(|line| format!(":{line}")).unwrap_or_default())]
     BadFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The line, from 1, where one is known.
+        /// Line number, from 1; `None` if the error is not tied to a line.
         line: Option<usize>,
-        /// What is wrong with it.
+        /// Description of the error.
         message: String,
     },
-    /// A setting that the command needs is not given.
-    #[error("{setting} is not given; put it into the file named by --config or pass --{option}")]
+    /// A setting that the command requires is not set.
+    #[error("{setting} is not set; add it to the file given with --config or pass --{option}")]
     Missing {
-        /// The setting.
+        /// Key in the settings file.
         setting: &'static str,
-        /// The option that gives it.
+        /// Command-line option that sets it, without the dashes.
         option: &'static str,
     },
-    /// The command line asks for something that does not go together.
+    /// The command line is not valid.
     #[error("{0}")]
     Usage(UsageError),
-    /// No host answered.
-    #[error("no host answered ({}); check the addresses under hosts, or whether the daemons run", ListOf(.0))]
-    NoHost(Vec<HostFailure>),
-    /// The change was rejected at its place in the log.
+    /// None of the hosts answered.
+    #[error(
+        "no host answered ({}); check the addresses under hosts, or that the daemons are running",
+        CommaSeparated(.0)
+    )]
+    NoHostAnswered(Vec<HostFailure>),
+    /// The daemons rejected the change when they read it from the log.
     #[error("change {change_id} at offset {offset} was rejected: {detail}; {next}")]
     Rejected {
-        /// The change.
+        /// Id of the change.
         change_id: ChangeId,
-        /// Where it stands.
+        /// Offset of the change in the log.
         offset: Offset,
-        /// Why.
+        /// Reason given by the daemons.
         detail: String,
-        /// What to do.
+        /// Next step for the operator.
         next: String,
     },
-    /// The log did not take the change.
+    /// The log did not accept the change.
     #[error(
-        "nothing was published: the log is {cause}; what is in force stays in force, publish again later"
+        "nothing was published: the log is {cause}; the configuration in force is unchanged, publish again later"
     )]
     NotAppended {
-        /// Why.
+        /// Failure of the last attempt.
         cause: LogFailure,
     },
-    /// It is not known whether the change counts.
+    /// Whether the change took effect could not be determined.
     #[error(
-        "it is not known whether change {change_id} counts: {cause}; run 'hibiscusvale history' and look for it, \
-         or publish again, which changes nothing if it does"
+        "unknown whether change {change_id} took effect: {cause}; look for it in 'hibiscusvale history', \
+         or publish again, which has no effect if it did"
     )]
     Unknown {
-        /// The change.
+        /// Id of the change.
         change_id: ChangeId,
-        /// Why.
+        /// Reason why the outcome is unknown.
         cause: String,
     },
-    /// The change is behind what is in force, and left no trace.
+    /// The change has an offset below the version in force and is not in the history: the log lost records.
     #[error(
-        "change {change_id} stands at offset {offset}, behind what is in force: the log was shortened or emptied; \
-         tell whoever runs the platform, and see 'the log was shortened' in OPERATORS.md"
+        "change {change_id} was appended at offset {offset}, below the version in force: the log was shortened or \
+         emptied; inform the operators of the platform, and see 'the log was shortened' in OPERATORS.md"
     )]
-    LogShorter {
-        /// The change.
+    LogTruncated {
+        /// Id of the change.
         change_id: ChangeId,
-        /// Where it stands.
+        /// Offset of the change in the log.
         offset: Offset,
     },
-    /// Some hosts lag.
+    /// The record is not in force on all hosts before the timeout.
     #[error(
-        "offset {offset} is not in force yet on {}; 'hibiscusvale status' shows why, 'hibiscusvale wait' waits on",
+        "offset {offset} is not in force yet on {}; 'hibiscusvale status' shows why, 'hibiscusvale wait' keeps waiting",
         .hosts.join(", ")
     )]
     NotInForce {
-        /// The record that is waited for.
+        /// Offset of the record.
         offset: Offset,
-        /// The hosts that lag or do not answer.
+        /// Hosts that lag or do not answer, each with its version or failure.
         hosts: Vec<String>,
     },
-    /// No host remembers the request.
+    /// No host has the request among its recent ones.
     #[error(
-        "no host remembers request {request_id}; only the latest are kept, and only until the host is replaced"
+        "no host has a record of request {request_id}; only recent requests are kept, and only until the daemon restarts"
     )]
     NotFound {
-        /// The request.
+        /// Id of the request.
         request_id: String,
     },
-    /// No log has a line of the request.
+    /// None of the log files has a line about the request.
     #[error(
-        "no line of {id} in {files} log files; lines are left out under load, so ask for its metrics and its retries"
+        "no line about {id} in {files} log files; lines are dropped under load, so check its metrics and its retries"
     )]
     NotLogged {
-        /// The request's name.
+        /// Call id or request id that was searched for.
         id: String,
-        /// Files that were read.
+        /// Number of log files read.
         files: usize,
     },
 }
 
-/// A command line that does not go together.
+/// An error in the command line.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum UsageError {
-    /// No command.
+    /// No command was given.
     #[error("no command given; 'hibiscusvale --help' lists them")]
     NoCommand,
-    /// Neither a file nor a class.
+    /// Neither a class file nor a class was given.
     #[error("nothing to publish; give a class file, or --class with its target")]
     NothingToPublish,
-    /// A class without its target.
+    /// A class was given without a complete target.
     #[error("class {class} needs --first-token-ms and --per-token-ms, or --response-ms")]
     NoTarget {
-        /// The class.
+        /// Name of the class.
         class: String,
     },
-    /// No class to delete.
+    /// No class to delete was given.
     #[error("nothing to delete; name the classes")]
     NothingToDelete,
-    /// Not a shell.
-    #[error("{found:?} is not a shell; bash, fish and zsh are known")]
+    /// The shell is not supported.
+    #[error("shell {found:?} is not supported; use bash, fish or zsh")]
     Shell {
-        /// What was asked for.
+        /// Value given on the command line.
         found: String,
     },
-    /// Not a kind of key.
-    #[error("{found:?} is not a kind of key; publish, token and peers are known")]
+    /// The kind of key does not exist.
+    #[error("{found:?} is not a kind of key; use publish, token or peers")]
     KeyKind {
-        /// What was asked for.
+        /// Value given on the command line.
         found: String,
     },
-    /// A change that no daemon would take.
-    #[error("the change has {bytes} bytes, at most {limit_bytes} are taken; publish it in parts")]
+    /// The signed change is larger than the daemons accept.
+    #[error("the change has {bytes} bytes, at most {limit_bytes} are accepted; publish it in parts")]
     TooLarge {
-        /// Its size.
+        /// Size of the signed record in bytes.
         bytes: usize,
-        /// The largest size.
+        /// Largest record in bytes.
         limit_bytes: usize,
     },
-    /// An author's name that cannot stand.
+    /// The author's name is not valid.
     #[error("{0}")]
     Author(#[from] hibiscusvale_core::config::ParseAuthorError),
 }
 
-/// A host that did not answer.
+/// A failed request to a host.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("{host}: {failure}")]
 pub struct HostFailure {
-    /// Its operator address.
+    /// Operator address of the host.
     pub host: SocketAddr,
-    /// Why.
+    /// Cause of the failure.
     pub failure: OperatorClientError,
 }
 
-struct ListOf<'a>(&'a [HostFailure]);
+/// Formats failures as a comma-separated list.
+struct CommaSeparated<'a>(&'a [HostFailure]);
 
-impl std::fmt::Display for ListOf<'_> {
+impl std::fmt::Display for CommaSeparated<'_> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let mut failures = self.0.iter();
         if let Some(first) = failures.next() {
@@ -215,21 +217,21 @@
 }
 
 impl ClientError {
-    /// The exit code that tells a script what happened.
+    /// Exit code for this error, as listed in [`EXIT_CODES`].
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::Read { .. } | Self::BadFile { .. } | Self::Missing { .. } | Self::Usage(_) => 2,
-            Self::NoHost(_) => 3,
+            Self::NoHostAnswered(_) => 3,
             Self::Rejected { .. } => 4,
             Self::NotAppended { .. } => 5,
-            Self::Unknown { .. } | Self::LogShorter { .. } => 6,
+            Self::Unknown { .. } | Self::LogTruncated { .. } => 6,
             Self::NotInForce { .. } => 7,
             Self::NotFound { .. } | Self::NotLogged { .. } => 8,
         }
     }
 }
 
-/// The exit code for whatever a command returned.
+/// Exit code for the error of a command.
 pub fn exit_code(error: &anyhow::Error) -> u8 {
-    error.downcast_ref::<ClientError>().map_or(EXIT_OTHER, ClientError::exit_code)
+    error.downcast_ref::<ClientError>().map_or(EXIT_FAILURE, ClientError::exit_code)
 }
--- a/crates/client/src/hosts.rs
+++ b/crates/client/src/hosts.rs
@@ -1,4 +1,4 @@
-//! Asks the daemons.
+//! Queries the daemons' operator services.
 
 use std::net::SocketAddr;
 
@@ -10,44 +10,44 @@
 
 use crate::error::{ClientError, HostFailure};
 
-/// What one host answered.
+/// Answer of one host.
 #[derive(Clone, Debug)]
 pub struct HostAnswer<View> {
-    /// Its operator address.
+    /// Operator address of the host.
     pub host: SocketAddr,
-    /// Its view, or why there is none.
+    /// View returned by the host, or the cause of the failure.
     pub view: Result<View, OperatorClientError>,
 }
 
-/// Asks all hosts at once for the view at `path`; the answers come in the order of `hosts`.
+/// Queries all hosts concurrently for the view at `path`; the answers are in the order of `hosts`.
 pub async fn ask_all<View>(client: &OperatorClient, hosts: &[SocketAddr], path: &str) -> Vec<HostAnswer<View>>
 where
     View: DeserializeOwned + Send + 'static,
 {
-    let mut asked = JoinSet::new();
-    for (place, &host) in hosts.iter().enumerate() {
+    let mut requests = JoinSet::new();
+    for (index, &host) in hosts.iter().enumerate() {
         let client = client.clone();
         let path = path.to_owned();
-        asked.spawn(async move {
+        requests.spawn(async move {
             let view = client.view(host, &path).await;
-            Placed { place, answer: HostAnswer { host, view } }
+            IndexedAnswer { index, answer: HostAnswer { host, view } }
         });
     }
-    let mut answers = asked.join_all().await;
-    answers.sort_by_key(|placed| placed.place);
-    answers.into_iter().map(|placed| placed.answer).collect()
+    let mut answers = requests.join_all().await;
+    answers.sort_by_key(|indexed| indexed.index);
+    answers.into_iter().map(|indexed| indexed.answer).collect()
 }
 
-struct Placed<View> {
-    place: usize,
+struct IndexedAnswer<View> {
+    index: usize,
     answer: HostAnswer<View>,
 }
 
-/// The views of those that answered.
+/// Views of the hosts that answered.
 ///
 /// # Errors
 ///
-/// [`ClientError::NoHost`] when none did.
+/// [`ClientError::NoHostAnswered`] if none did.
 pub fn answered<View>(answers: Vec<HostAnswer<View>>) -> Result<Vec<View>, ClientError> {
     let mut views = Vec::new();
     let mut failures = Vec::new();
@@ -57,14 +57,14 @@
             Err(failure) => failures.push(HostFailure { host, failure }),
         }
     }
-    if views.is_empty() { Err(ClientError::NoHost(failures)) } else { Ok(views) }
+    if views.is_empty() { Err(ClientError::NoHostAnswered(failures)) } else { Ok(views) }
 }
 
-/// The newest configuration that any host has in force, of all partners or of one.
+/// Newest configuration in force on any host, for one partner or for all if `partner` is `None`.
 ///
 /// # Errors
 ///
-/// [`ClientError::NoHost`] when none answered.
+/// [`ClientError::NoHostAnswered`] if none answered.
 pub async fn newest_config(
     client: &OperatorClient,
     hosts: &[SocketAddr],
@@ -72,10 +72,10 @@
 ) -> Result<ConfigView, ClientError> {
     let views = answered(ask_all(client, hosts, &config_path(partner)).await)?;
     let newest = views.into_iter().max_by_key(|view: &ConfigView| view.next_offset);
-    newest.ok_or_else(|| ClientError::NoHost(Vec::new()))
+    newest.ok_or_else(|| ClientError::NoHostAnswered(Vec::new()))
 }
 
-/// Path of the configuration view.
+/// Path of the configuration view, for one partner or for all.
 pub fn config_path(partner: Option<&PartnerId>) -> String {
     match partner {
         Some(partner) => format!("/control/config?partner={partner}"),
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the operators' client does, as a library, so that tests call it without starting a process.
+//! The operators' command-line client as a library, so that tests can call it without starting a process.
 
 pub mod classes;
 pub mod cmd;
@@ -6,17 +6,17 @@
 pub mod error;
 pub mod hosts;
 mod log_line;
-pub mod losses;
 pub mod manual;
 pub mod publisher;
 pub mod report;
-pub mod story;
+pub mod request_trace;
+pub mod stream_outcomes;
 
 use std::process::ExitCode;
 
 use crate::cmd::Args;
 
-/// Reads the command line, does what it says, prints the result, and tells the shell how it went.
+/// Runs the command given on the command line, prints its result and returns the exit code.
 pub fn main() -> ExitCode {
     let args = Args::parse();
     let is_json = args.json;
--- a/crates/client/src/log_line.rs
+++ b/crates/client/src/log_line.rs
@@ -1,25 +1,25 @@
-//! Lines of daemons' logs.
+//! Parses lines of the daemons' logs.
 
 use serde_json::{Map, Value};
 
-/// Lines with this event tell of requests.
-const RELAYED: &str = "request relayed";
+/// Event name of the line that a daemon logs when a request ends.
+const REQUEST_EVENT: &str = "request relayed";
 
-/// What `changed` lines say when lines of requests had to be left out.
-pub(crate) const LEFT_OUT: &str = "request lines left out";
+/// Value of `what` in the `changed` line that counts request lines left out under load.
+pub(crate) const LINES_LEFT_OUT: &str = "request lines left out";
 
-/// One line: an event with its fields.
-pub(crate) struct Line {
-    /// When it was written, by its host's clock.
+/// A log line: an event with its fields.
+pub(crate) struct LogLine {
+    /// Time of writing in Unix ms, by the host's clock.
     pub(crate) at_ms: u64,
     payload: String,
     fields: Map<String, Value>,
 }
 
-impl Line {
-    /// The line's event, or nothing for lines that are none of ours or were cut off.
+impl LogLine {
+    /// Parses a line; `None` for a truncated line or one that no daemon wrote.
     pub(crate) fn parse(text: &str) -> Option<Self> {
-        // What collects logs may put a time and a host before each line.
+        // Log collectors may prefix each line with a time and a host.
         let start = text.find('{')?;
         let mut fields: Map<String, Value> = serde_json::from_str(&text[start..]).ok()?;
         let at_ms = fields.get("timestamp")?.as_u64()?;
@@ -30,7 +30,7 @@
         }
     }
 
-    /// A field as text; empty where the line has none of this name.
+    /// A field as text; empty if the line has no such field.
     pub(crate) fn text(&self, name: &str) -> String {
         match self.fields.get(name) {
             Some(Value::String(text)) => text.clone(),
@@ -39,26 +39,27 @@
         }
     }
 
-    /// A field as a number; zero where the line has none of this name.
+    /// A field as a number; zero if the line has no such field or it is not a number.
     pub(crate) fn number(&self, name: &str) -> u64 {
         self.fields.get(name).and_then(Value::as_u64).unwrap_or_default()
     }
 
-    /// Whether it tells how a request ended.
-    pub(crate) fn is_relayed(&self) -> bool {
-        self.payload == RELAYED
+    /// Whether the line records the end of a request.
+    pub(crate) fn is_request(&self) -> bool {
+        self.payload == REQUEST_EVENT
     }
 
-    /// Whether it tells of the request that goes by this name, its caller's or the relay's.
-    pub(crate) fn is_of(&self, id: &str) -> bool {
-        self.is_relayed() && (self.text("call") == id || self.text("request_id") == id)
+    /// Whether the line records the end of the request with this id, either the caller's call id or the relay's
+    /// request id.
+    pub(crate) fn is_of_request(&self, id: &str) -> bool {
+        self.is_request() && (self.text("call") == id || self.text("request_id") == id)
     }
 
-    /// What this line says that the host learned, if it does.
-    pub(crate) fn news(&self) -> Option<String> {
+    /// Describes the event that the host observed; `None` for lines about requests.
+    pub(crate) fn host_event(&self) -> Option<String> {
         let fields = match self.payload.as_str() {
-            RELAYED => return None,
-            "changed" if self.text("what") == LEFT_OUT => return None,
+            REQUEST_EVENT => return None,
+            "changed" if self.text("what") == LINES_LEFT_OUT => return None,
             "changed" => return Some(format!("{} {}", self.text("what"), self.text("detail"))),
             _ => self.fields.iter().filter(|(_, value)| value.as_str() != Some("")),
         };
--- a/crates/client/src/main.rs
+++ b/crates/client/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' client of hibiscusvale.
+//! Command-line client for the operators of hibiscusvale.
 
 use std::process::ExitCode;
 
--- a/crates/client/src/manual.rs
+++ b/crates/client/src/manual.rs
@@ -10,55 +10,55 @@
 
 pub use self::programs::{client, daemon};
 
-/// What is known of a program.
+/// Documentation of a program.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Program {
-    /// Its name.
+    /// Name of the executable.
     pub name: &'static str,
-    /// Section of the manual.
+    /// Manual section of the man page.
     pub section: u8,
-    /// What it is, in one line.
+    /// One-line summary.
     pub about: &'static str,
-    /// What it does, in paragraphs.
+    /// Paragraphs of the description.
     pub description: &'static [&'static str],
-    /// Usage of the options that stand before a command.
+    /// Usage text of the global options.
     pub usage: String,
-    /// Its commands.
+    /// Commands, in the order of the man page.
     pub commands: Vec<CommandDoc>,
-    /// Further sections.
+    /// Sections after the commands.
     pub sections: Vec<SectionDoc>,
 }
 
-/// A command with its usage.
+/// Documentation of a command.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CommandDoc {
-    /// Its name.
+    /// Name of the command.
     pub name: String,
-    /// What it does, in one line.
+    /// One-line summary.
     pub help: String,
-    /// Its usage, as `--help` prints it.
+    /// Usage text, as `--help` prints it.
     pub usage: String,
 }
 
 /// A section of a man page.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SectionDoc {
-    /// Its heading.
+    /// Heading of the section.
     pub heading: &'static str,
-    /// Its entries.
+    /// Entries, in order.
     pub entries: Vec<EntryDoc>,
 }
 
 /// A term with its explanation.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EntryDoc {
-    /// The term.
+    /// Term that is explained.
     pub term: String,
-    /// What it means.
+    /// Explanation of the term.
     pub text: String,
 }
 
-/// The shells that completions are made for.
+/// Shells with generated completions.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Shell {
     /// GNU Bash.
@@ -69,9 +69,9 @@
     Zsh,
 }
 
-/// A text that names no known shell.
+/// The text is not the name of a supported shell.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("shell is not known")]
+#[error("shell is not supported")]
 pub struct ParseShellError;
 
 impl FromStr for Shell {
@@ -90,20 +90,20 @@
 /// An option or positional argument, as a usage text lists it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct UsageLine {
-    /// The option with its value, or the argument.
+    /// Option with its value, or positional argument.
     pub(crate) term: String,
-    /// What it does.
+    /// Help text.
     pub(crate) help: String,
 }
 
 impl UsageLine {
-    /// The long form of an option.
+    /// Long form of an option with its dashes; `None` for a positional argument.
     pub(crate) fn long(&self) -> Option<&str> {
         self.term.split([' ', ',']).find(|word| word.starts_with("--"))
     }
 }
 
-/// The lines of a usage text that describe something: indented, with the help behind two spaces.
+/// Parses the option and argument lines of a usage text: indented, with two spaces before the help.
 pub(crate) fn usage_lines(usage: &str) -> Vec<UsageLine> {
     let described = usage.lines().filter(|line| line.starts_with("  "));
     let split = described.filter_map(|line| {
--- a/crates/client/src/manual/complete.rs
+++ b/crates/client/src/manual/complete.rs
@@ -1,9 +1,9 @@
-//! Shell completions.
+//! Generates shell completions.
 
 use crate::manual::{CommandDoc, Program, Shell, UsageLine, usage_lines};
 
 impl Program {
-    /// Completions for a shell.
+    /// Generates the completion script for a shell.
     pub fn completions(&self, shell: Shell) -> String {
         match shell {
             Shell::Bash => self.bash(),
@@ -20,14 +20,14 @@
         let name = self.name;
         let commands: Vec<_> = self.commands.iter().map(|command| command.name.as_str()).collect();
         let cases = self.commands.iter().map(|command| {
-            let words = longs(&options(&command.usage));
+            let words = long_options(&options(&command.usage));
             format!("    {}) words=\"{words}\" ;;\n", command.name)
         });
         format!(
             "_{name}() {{\n  local word words=\"{} {}\"\n  for word in \"${{COMP_WORDS[@]:1:COMP_CWORD-1}}\"; do\n    \
              case \"$word\" in\n{}    esac\n  done\n  mapfile -t COMPREPLY < <(compgen -W \"$words\" -- \
              \"${{COMP_WORDS[COMP_CWORD]}}\")\n}}\ncomplete -o default -F _{name} {name}\n",
-            longs(&self.options()),
+            long_options(&self.options()),
             commands.join(" "),
             cases.collect::<String>()
         )
@@ -77,7 +77,7 @@
     usage_lines(usage).into_iter().filter(|line| line.long().is_some()).collect()
 }
 
-fn longs(options: &[UsageLine]) -> String {
+fn long_options(options: &[UsageLine]) -> String {
     options.iter().filter_map(UsageLine::long).collect::<Vec<_>>().join(" ")
 }
 
@@ -94,7 +94,7 @@
     words.collect::<Vec<_>>().join(" ")
 }
 
-/// Keeps a help text inside single quotes.
+/// Makes a help text safe inside single quotes: drops apostrophes and escapes colons.
 fn quote(text: &str) -> String {
     text.replace('\'', "").replace(':', "\\:")
 }
--- a/crates/client/src/manual/page.rs
+++ b/crates/client/src/manual/page.rs
@@ -1,11 +1,11 @@
-//! Man pages.
+//! Generates man pages.
 
 use std::fmt::Write;
 
 use crate::manual::{EntryDoc, Program, usage_lines};
 
 impl Program {
-    /// The man page.
+    /// Generates the man page in roff.
     pub fn man(&self) -> String {
         let mut page = Page::default();
         let upper = self.name.to_uppercase();
@@ -47,7 +47,7 @@
 
 impl Page {
     fn line(&mut self, line: &str) {
-        // Writing to a text cannot fail.
+        // Writing to a `String` cannot fail.
         let _ = writeln!(self.text, "{line}");
     }
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// Keeps the formatter of man pages from reading a text as its own language.
+/// Escapes characters that roff would interpret.
 fn escape(text: &str) -> String {
     let escaped = text.replace('\\', "\\e").replace('-', "\\-");
     match escaped.chars().next() {
--- a/crates/client/src/publisher.rs
+++ b/crates/client/src/publisher.rs
@@ -1,8 +1,7 @@
-//! Publishes changes to the platform's log and finds out what came of them.
+//! Publishes changes to the platform's log and determines their outcome.
 //!
-//! A change is named by an id of its own. The same signed record may be appended again under that id: the
-//! daemons count it once. So an append whose answer was lost is resolved by looking and by appending again,
-//! never by a guess.
+//! Each change has a unique id, and the daemons apply a signed record that was appended more than once under its id only
+//! once. An append whose answer was lost is therefore resolved by searching the log and appending again.
 
 use std::time::Duration;
 
@@ -21,27 +20,27 @@
 use crate::error::{ClientError, UsageError};
 use crate::hosts::{HostAnswer, ask_all, config_path, newest_config};
 
-/// Tries at the log before giving up. With the pauses between them they span a few seconds.
-const APPEND_TRIES: u32 = 6;
+/// Append attempts before giving up. With the delays between them they span a few seconds.
+const APPEND_ATTEMPTS: u32 = 6;
 
-/// Pause between two tries when the log does not say when to come back.
-const APPEND_PAUSE: Duration = Duration::from_millis(500);
+/// Delay between append attempts when the log returns no retry time.
+const APPEND_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Longest pause that the log may ask for before the operator is told instead.
-const LONGEST_PAUSE: Duration = Duration::from_secs(3);
+/// Upper limit of the retry time that the log returns, so that the operator gets an answer in time.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(3);
 
-/// Pause between two looks at the hosts.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
+/// Interval between polls of the hosts.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Records read at once when a change is looked up.
+/// Records per read when searching the log for a change.
 const PAGE_RECORDS: u32 = 500;
 
-/// How a change is published.
+/// Options for publishing a change.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PublishOptions {
     /// Whether to wait until the change is in force on every host.
     pub waits: bool,
-    /// How long to wait.
+    /// Time limit for the daemons' verdict and for all hosts together.
     pub timeout_ms: Millis,
 }
 
@@ -51,26 +50,26 @@
     }
 }
 
-/// What came of publishing.
+/// Result of publishing.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 #[serde(tag = "result", rename_all = "kebab-case")]
 pub enum Published {
-    /// Everything was in force already.
+    /// All requested targets are in force already, so nothing was published.
     Unchanged,
-    /// The change counts.
+    /// The daemons accepted the change.
     Accepted {
-        /// Its id.
+        /// Id of the change.
         change_id: String,
-        /// Where it stands.
+        /// Offset in the log at which the change took effect.
         offset: Offset,
-        /// What it changes, in words.
+        /// Descriptions of the changes to classes.
         changes: Vec<String>,
-        /// Hosts on which it is in force.
+        /// Number of hosts known to have the change in force.
         hosts_in_force: usize,
     },
 }
 
-/// Publishes for one partner.
+/// Publishes changes for one partner.
 #[derive(Debug)]
 pub struct Publisher<'a> {
     context: &'a Context,
@@ -78,20 +77,20 @@
     log: HttpLog,
 }
 
-/// A signed change that is to be appended.
-struct Signed {
+/// A signed change to append to the log.
+struct SignedChange {
     change_id: ChangeId,
     record: Bytes,
-    /// No record of the change stands before it.
+    /// Lowest offset at which the record can be in the log.
     from: Offset,
 }
 
 impl<'a> Publisher<'a> {
-    /// A publisher with the operator's settings.
+    /// Creates a publisher with the operator's settings.
     ///
     /// # Errors
     ///
-    /// [`ClientError::Missing`] when the log is not given.
+    /// [`ClientError::Missing`] if the log's address is not set.
     pub fn new(context: &'a Context) -> Result<Self, ClientError> {
         Ok(Self {
             context,
@@ -100,11 +99,11 @@
         })
     }
 
-    /// Publishes `changes` from the version that is in force, and says whether they count.
+    /// Publishes `changes` based on the version in force and waits for the daemons' verdict.
     ///
     /// # Errors
     ///
-    /// [`ClientError`], by which it is known what holds.
+    /// [`ClientError`], whose variant tells whether the change took effect, did not, or may have.
     pub async fn publish(
         &self,
         changes: Vec<ClassChange>,
@@ -113,25 +112,25 @@
         let partner = self.context.partner()?;
         let view = newest_config(&self.client, self.context.hosts()?, Some(partner)).await?;
         let in_force = view.partners.first();
-        let changes: Vec<_> = changes.into_iter().filter(|change| is_news(in_force, change)).collect();
+        let changes: Vec<_> = changes.into_iter().filter(|change| has_effect(in_force, change)).collect();
         if changes.is_empty() {
             return Ok(Published::Unchanged);
         }
-        let words = changes.iter().map(ToString::to_string).collect();
+        let descriptions = changes.iter().map(ToString::to_string).collect();
         let signed = self.sign(changes, &view)?;
         let offset = self.append(&signed).await?;
         let until = Instant::now() + Duration::from(options.timeout_ms);
         let offset = self.verdict(signed.change_id, offset, until).await?;
-        let hosts_in_force = if options.waits { self.in_force(offset, until).await? } else { 1 };
+        let hosts_in_force = if options.waits { self.wait_on_all_hosts(offset, until).await? } else { 1 };
         Ok(Published::Accepted {
             change_id: signed.change_id.to_string(),
             offset,
-            changes: words,
+            changes: descriptions,
             hosts_in_force,
         })
     }
 
-    fn sign(&self, changes: Vec<ClassChange>, view: &ConfigView) -> Result<Signed, ClientError> {
+    fn sign(&self, changes: Vec<ClassChange>, view: &ConfigView) -> Result<SignedChange, ClientError> {
         let body = ChangeBody {
             made_from: view.partners.first().and_then(|partner| partner.version),
             author: self.context.author()?,
@@ -147,17 +146,17 @@
                 limit_bytes: MAX_RECORD_BYTES,
             }));
         }
-        Ok(Signed { change_id, record, from: view.next_offset })
+        Ok(SignedChange { change_id, record, from: view.next_offset })
     }
 
-    /// Appends the change and returns where it stands. After an append whose answer was lost the change may
-    /// stand already: it is looked for, and only if it is not found appended again.
-    async fn append(&self, signed: &Signed) -> Result<Offset, ClientError> {
+    /// Appends the change and returns its offset. After an append whose answer was lost the record may be in the log
+    /// already, so the log is searched first and the record appended again only if it is not found.
+    async fn append(&self, signed: &SignedChange) -> Result<Offset, ClientError> {
         let mut lost = None;
         let mut refused = LogFailure::Unreachable;
-        for _ in 0..APPEND_TRIES {
+        for _ in 0..APPEND_ATTEMPTS {
             if lost.is_some()
-                && let Some(offset) = self.look_up(signed).await
+                && let Some(offset) = self.find_in_log(signed).await
             {
                 return Ok(offset);
             }
@@ -165,11 +164,11 @@
                 Ok(offset) => return Ok(offset),
                 Err(AppendError::NotAppended { cause, retry_after_ms }) => {
                     refused = cause;
-                    retry_after_ms.map_or(APPEND_PAUSE, Duration::from).min(LONGEST_PAUSE)
+                    retry_after_ms.map_or(APPEND_RETRY_DELAY, Duration::from).min(MAX_RETRY_DELAY)
                 }
                 Err(AppendError::Unknown { cause }) => {
                     lost = Some(cause);
-                    APPEND_PAUSE
+                    APPEND_RETRY_DELAY
                 }
             };
             tokio::time::sleep(pause).await;
@@ -183,8 +182,8 @@
         })
     }
 
-    /// Looks for the change in the log, behind what was in force when it was made.
-    async fn look_up(&self, signed: &Signed) -> Option<Offset> {
+    /// Searches the log for the change, from the version in force when it was signed.
+    async fn find_in_log(&self, signed: &SignedChange) -> Option<Offset> {
         let mut from = signed.from;
         loop {
             let page = self.log.read(Stream::Config, from, PAGE_RECORDS, Millis::ZERO).await.ok()?;
@@ -195,7 +194,7 @@
         }
     }
 
-    /// What the daemons made of the change at `offset`. Returns where it counts from.
+    /// Waits for the daemons' verdict on the change at `offset` and returns the offset at which it took effect.
     async fn verdict(
         &self,
         change_id: ChangeId,
@@ -209,33 +208,33 @@
             let answers = ask_all::<ConfigView>(&self.client, hosts, &config_path(Some(partner))).await;
             let views = answers.into_iter().filter_map(|answer| answer.view.ok());
             if let Some(view) = views.into_iter().find(|view| view.next_offset > offset) {
-                return verdict_in(&view, &id, change_id, offset);
+                return verdict_in_view(&view, &id, change_id, offset);
             }
             if Instant::now() >= until {
                 return Err(ClientError::Unknown {
                     change_id,
-                    cause: format!("it stands at offset {offset}, but no host has read that far"),
+                    cause: format!("it was appended at offset {offset}, but no host has read that far"),
                 });
             }
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until the record at `offset` is in force on every host; returns how many there are.
+    /// Waits until the record at `offset` is in force on every host; returns the number of hosts.
     ///
     /// # Errors
     ///
-    /// [`ClientError::NotInForce`] with the hosts that lag.
-    pub async fn in_force(&self, offset: Offset, until: Instant) -> Result<usize, ClientError> {
+    /// [`ClientError::NotInForce`] with the hosts that still lag at `until`.
+    pub async fn wait_on_all_hosts(&self, offset: Offset, until: Instant) -> Result<usize, ClientError> {
         wait_in_force(&self.client, self.context, offset, until).await
     }
 }
 
-/// Waits until the record at `offset` is in force on every host; returns how many there are.
+/// Waits until the record at `offset` is in force on every host; returns the number of hosts.
 ///
 /// # Errors
 ///
-/// [`ClientError::NotInForce`] with the hosts that lag.
+/// [`ClientError::NotInForce`] with the hosts that still lag at `until`.
 pub async fn wait_in_force(
     client: &OperatorClient,
     context: &Context,
@@ -246,18 +245,22 @@
     let hosts = context.hosts()?;
     loop {
         let answers = ask_all::<StatusView>(client, hosts, "/control/status").await;
-        let behind: Vec<String> = answers.iter().filter_map(|answer| lag(answer, offset)).collect();
+        let behind: Vec<String> = answers.iter().filter_map(|answer| describe_lag(answer, offset)).collect();
         if behind.is_empty() {
             return Ok(hosts.len());
         }
         if Instant::now() >= until {
             return Err(ClientError::NotInForce { offset, hosts: behind });
         }
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn lag(answer: &HostAnswer<hibiscusvale::operators::views::StatusView>, offset: Offset) -> Option<String> {
+/// Describes a host on which `offset` is not in force; `None` if it is.
+fn describe_lag(
+    answer: &HostAnswer<hibiscusvale::operators::views::StatusView>,
+    offset: Offset,
+) -> Option<String> {
     match &answer.view {
         Ok(status) if status.next_offset > offset => None,
         Ok(status) => Some(format!("{} (at {})", status.host, status.next_offset)),
@@ -265,9 +268,9 @@
     }
 }
 
-/// Whether the change would change anything. A class to delete that is not there is left to the daemons to
-/// reject, so that the operator hears of the slip.
-fn is_news(in_force: Option<&PartnerView>, change: &ClassChange) -> bool {
+/// Whether the change differs from the version in force. A deletion always does: the daemons reject one of a class that
+/// does not exist, which shows the mistake to the operator.
+fn has_effect(in_force: Option<&PartnerView>, change: &ClassChange) -> bool {
     let ClassChange::Publish { class, target } = change else {
         return true;
     };
@@ -275,7 +278,7 @@
     found.is_none_or(|view| ClassTarget::from(view.target) != *target)
 }
 
-fn verdict_in(
+fn verdict_in_view(
     view: &ConfigView,
     id: &str,
     change_id: ChangeId,
@@ -298,7 +301,7 @@
             change_id,
             offset: *offset,
             detail: detail.clone(),
-            next: advice(reason, history),
+            next: next_step(reason, history),
         });
     }
     let claimed = view.unattributed.iter().find(|record| record.change_id.as_deref() == Some(id));
@@ -310,12 +313,12 @@
             next: "check that the daemons' settings have this partner with the public half of your key"
                 .to_owned(),
         },
-        None => ClientError::LogShorter { change_id, offset },
+        None => ClientError::LogTruncated { change_id, offset },
     })
 }
 
-/// What an operator does about a rejected change.
-fn advice(reason: &str, history: &[ChangeView]) -> String {
+/// Next step for the operator after a rejected change.
+fn next_step(reason: &str, history: &[ChangeView]) -> String {
     if reason != "conflict" {
         return "correct the change and publish it again".to_owned();
     }
@@ -323,6 +326,6 @@
     let author = winner.and_then(|entry| entry.author.as_deref()).unwrap_or("somebody");
     let changes = winner.map(|entry| entry.changes.join("; ")).unwrap_or_default();
     format!(
-        "{author} came first with ({changes}); look at 'hibiscusvale list' and publish again if it is still wanted"
+        "{author} published first ({changes}); check 'hibiscusvale list' and publish again if the change is still needed"
     )
 }
--- a/crates/client/src/report.rs
+++ b/crates/client/src/report.rs
@@ -1,4 +1,4 @@
-//! What a command prints: a text for people, JSON for scripts.
+//! Output of commands: text for people, JSON for scripts.
 
 use std::io::{self, Write};
 
@@ -6,37 +6,37 @@
 
 use crate::error;
 
-/// The result of a command in both forms.
+/// Result of a command in both output formats.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Report {
-    /// For people; ends without a newline.
+    /// Human-readable text without a trailing newline.
     pub human: String,
-    /// For scripts: one JSON value.
+    /// JSON value for scripts, or the same text as `human` for generated files.
     pub json: String,
 }
 
 impl Report {
-    /// A result with its two forms.
+    /// Creates a report from a serializable view and its human-readable text.
     pub fn new<View>(view: &View, human: String) -> Self
     where
         View: Serialize,
     {
         Self {
             human,
-            // Plain data with text keys has no way to fail; a script would notice the empty line.
+            // Serializing plain data with string keys does not fail; a script would notice the empty line.
             json: serde_json::to_string(view).unwrap_or_default(),
         }
     }
 
-    /// A text that is the same for people and scripts, such as a generated file.
+    /// Creates a report whose text is the same in both formats, such as a generated file.
     pub fn raw(text: String) -> Self {
         Self { json: text.clone(), human: text }
     }
 
-    /// Prints one of the forms.
+    /// Prints the report to standard output, as JSON if `is_json` is set.
     pub fn print(&self, is_json: bool) {
         let text = if is_json { &self.json } else { &self.human };
-        // Whoever closed our output early (`| head`) has seen enough.
+        // A reader that closes the pipe early, such as `head`, is not an error.
         let _ = writeln!(io::stdout(), "{}", text.trim_end_matches('\n'));
     }
 }
@@ -47,7 +47,7 @@
     exit_code: u8,
 }
 
-/// Prints why a command failed.
+/// Prints the error of a command to standard error.
 pub fn print_error(error: &anyhow::Error, is_json: bool) {
     let message = format!("{error:#}");
     if is_json {
@@ -58,7 +58,7 @@
     }
 }
 
-/// A table with left-aligned columns.
+/// Formats a table with left-aligned columns.
 pub fn table<const COLUMNS: usize>(headers: [&str; COLUMNS], rows: &[[String; COLUMNS]]) -> String {
     let mut widths = headers.map(str::len);
     for row in rows {
@@ -76,7 +76,7 @@
     padded.collect::<Vec<_>>().join("  ").trim_end().to_owned()
 }
 
-/// A text or a dash.
+/// Formats a value, or a dash for `None`.
 pub fn or_dash<Value>(value: Option<Value>) -> String
 where
     Value: ToString,
@@ -89,7 +89,7 @@
 const SECONDS_PER_HOUR: u64 = 3_600;
 const SECONDS_PER_DAY: u64 = 86_400;
 
-/// How long ago something was, in the largest fitting unit.
+/// Formats an age in the largest unit in which it is at least 1.
 pub fn age(age_ms: u64) -> String {
     let seconds = age_ms / MILLIS_PER_SECOND;
     match seconds {
--- a/crates/client/tests/client/world.rs
+++ b/crates/client/tests/client/cluster.rs
@@ -1,4 +1,4 @@
-//! A log and the parts of daemons that the client meets.
+//! A simulated log with the parts of daemons that the client uses.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -27,7 +27,7 @@
 /// Secret key of the partner `nadifa`.
 pub const KEY: [u8; 32] = [7; 32];
 
-/// One daemon, as far as the client meets it.
+/// The parts of a daemon that the client uses.
 pub struct Daemon {
     pub address: SocketAddr,
     pub config: ConfigHandle,
@@ -37,51 +37,51 @@
     _feed: mpsc::Sender<ConfigFeed>,
 }
 
-/// A log with daemons that follow it.
-pub struct World {
+/// A log with daemons that read it.
+pub struct TestCluster {
     pub log: LogHandle,
-    /// The same log at the address where the daemons read it.
-    pub reads: LogHandle,
+    /// The same log at the address that the daemons use, so that their reads can fail on their own.
+    pub daemon_log: LogHandle,
     pub daemons: Vec<Daemon>,
     directory: PathBuf,
 }
 
-/// How a command ended.
+/// Result of a command.
 #[derive(Debug)]
-pub struct Ended {
+pub struct CommandOutput {
     pub code: u8,
     pub text: String,
     pub json: serde_json::Value,
 }
 
-impl World {
-    /// `name` keeps the files of tests apart.
+impl TestCluster {
+    /// Starts a log and `daemons` daemons; `name` is the directory of the test's files.
     pub async fn new(name: &str, daemons: usize) -> Self {
         let log = LogService::start(LogSettings::default()).await.expect("a log");
-        let reads = log.share("127.0.0.1:0".parse().expect("an address")).await.expect("a log");
+        let daemon_log = log.share("127.0.0.1:0".parse().expect("an address")).await.expect("a log");
         let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
         std::fs::create_dir_all(&directory).expect("a directory");
-        let mut world = Self { log, reads, daemons: Vec::new(), directory };
-        world.write("nadifa.key", blake3::Hash::from_bytes(KEY).to_hex().as_str());
+        let mut cluster = Self { log, daemon_log, daemons: Vec::new(), directory };
+        cluster.write("nadifa.key", blake3::Hash::from_bytes(KEY).to_hex().as_str());
         for index in 0..daemons {
-            world.daemons.push(daemon(index, world.reads.address));
+            cluster.daemons.push(daemon(index, cluster.daemon_log.address));
         }
-        world
+        cluster
     }
 
     /// Writes a file and returns its path.
     pub fn write(&self, name: &str, text: &str) -> String {
         let path = self.directory.join(name);
         std::fs::write(&path, text).expect("a file");
-        path.to_str().expect("a path of letters").to_owned()
+        path.to_str().expect("a UTF-8 path").to_owned()
     }
 
     pub fn path(&self, name: &str) -> String {
-        self.directory.join(name).to_str().expect("a path of letters").to_owned()
+        self.directory.join(name).to_str().expect("a UTF-8 path").to_owned()
     }
 
-    /// Runs the client as the operator `author` of `nadifa`, with all daemons as its hosts.
-    pub async fn run_as(&self, author: &str, command: &[&str]) -> Ended {
+    /// Runs the client as the operator `author` of the partner `nadifa`, with all daemons as its hosts.
+    pub async fn run_as(&self, author: &str, command: &[&str]) -> CommandOutput {
         let log = self.log.address.to_string();
         let key_file = self.path("nadifa.key");
         let hosts: Vec<String> = self.daemons.iter().map(|daemon| daemon.address.to_string()).collect();
@@ -94,21 +94,23 @@
         run(&arguments).await
     }
 
-    pub async fn run(&self, command: &[&str]) -> Ended {
+    pub async fn run(&self, command: &[&str]) -> CommandOutput {
         self.run_as("salma", command).await
     }
 }
 
-/// Runs the client with a command line.
-pub async fn run(arguments: &[&str]) -> Ended {
-    let args = Args::parse_args_default(arguments).expect("a command line that is understood");
+/// Runs the client with the given arguments.
+pub async fn run(arguments: &[&str]) -> CommandOutput {
+    let args = Args::parse_args_default(arguments).expect("a valid command line");
     match args.execute().await {
         Ok(Report { human, json }) => {
-            Ended { code: 0, text: human, json: serde_json::from_str(&json).unwrap_or_default() }
-        }
-        Err(error) => {
-            Ended { code: exit_code(&error), text: format!("{error:#}"), json: serde_json::Value::Null }
+            CommandOutput { code: 0, text: human, json: serde_json::from_str(&json).unwrap_or_default() }
         }
+        Err(error) => CommandOutput {
+            code: exit_code(&error),
+            text: format!("{error:#}"),
+            json: serde_json::Value::Null,
+        },
     }
 }
 
--- a/crates/client/tests/client/main.rs
+++ b/crates/client/tests/client/main.rs
@@ -1,9 +1,9 @@
-//! Tests of the operators' client against a stand-in log and the daemons' own services.
+//! Tests of the operators' client against a simulated log and the daemons' real services.
 
+mod cluster;
 mod files;
 mod keys;
-mod losses;
 mod publishing;
-mod story;
-mod watching;
-mod world;
+mod queries;
+mod request_trace;
+mod stream_outcomes;
--- a/crates/client/tests/client/watching.rs
+++ b/crates/client/tests/client/queries.rs
@@ -1,4 +1,4 @@
-//! Commands that look and do not change.
+//! Commands that only read.
 
 use std::collections::HashMap;
 
@@ -7,16 +7,16 @@
 use hibiscusvale_core::ids::{Incarnation, RequestId};
 use hibiscusvale_core::units::{Millis, Tokens};
 
-use crate::world::{World, run};
+use crate::cluster::{TestCluster, run};
 
 #[derive(Clone, Copy)]
-enum Mark {
+enum TestOutcome {
     Answered,
     NotRun,
     QueueFull,
 }
 
-impl Label for Mark {
+impl Label for TestOutcome {
     fn label(self) -> &'static str {
         match self {
             Self::Answered => "answered",
@@ -27,34 +27,34 @@
 }
 
 #[tokio::test]
-async fn status_and_wait_show_what_is_in_force_where() {
-    let world = World::new("status", 2).await;
-    world.run(&["publish", "--class", "booking", "--response-ms", "300"]).await;
-    let waited = world.run(&["wait"]).await;
+async fn status_and_wait_show_the_version_in_force_on_each_host() {
+    let cluster = TestCluster::new("status", 2).await;
+    cluster.run(&["publish", "--class", "booking", "--response-ms", "300"]).await;
+    let waited = cluster.run(&["wait"]).await;
     assert_eq!((waited.code, &waited.json["hosts"]), (0, &2.into()), "{}", waited.text);
-    let status = world.run(&["status"]).await;
+    let status = cluster.run(&["status"]).await;
     assert_eq!(status.json["hosts"][1]["next_offset"], 1);
     assert_eq!(status.json["hosts"][0]["state"], status.json["hosts"][1]["state"]);
     assert_eq!(status.json["warnings"], serde_json::json!([]));
-    let late = world.run(&["wait", "--offset", "5", "--timeout-ms", "100"]).await;
+    let late = cluster.run(&["wait", "--offset", "5", "--timeout-ms", "100"]).await;
     assert_eq!(late.code, 7, "{}", late.text);
     assert!(late.text.contains("entry-0 (at 1)"), "{}", late.text);
 }
 
-/// The balancer spreads a partner's requests over the hosts, so no host alone has its numbers.
+/// The load balancer spreads a partner's requests over the hosts, so the totals are the sums over all hosts.
 #[tokio::test]
 async fn outcomes_are_summed_over_the_hosts() {
-    let world = World::new("outcomes", 2).await;
+    let cluster = TestCluster::new("outcomes", 2).await;
     let (partner, class) = ("nadifa".parse().expect("a partner"), "summary".parse().expect("a class"));
-    for daemon in &world.daemons {
+    for daemon in &cluster.daemons {
         let counted = daemon.metrics.class(&partner, &class);
-        counted.record_outcome(Mark::Answered);
-        counted.record_outcome(Mark::NotRun);
-        counted.record_refusal(Mark::QueueFull);
+        counted.record_outcome(TestOutcome::Answered);
+        counted.record_outcome(TestOutcome::NotRun);
+        counted.record_refusal(TestOutcome::QueueFull);
         counted.record_goodput();
         counted.record_prefill(Tokens(100));
     }
-    let outcomes = world.run(&["outcomes"]).await;
+    let outcomes = cluster.run(&["outcomes"]).await;
     let class = &outcomes.json["classes"][0];
     assert_eq!((&class["goodput"], &class["prefill_tokens"]), (&2.into(), &200.into()));
     let refusals: HashMap<&str, u64> = class["refusals"]
@@ -68,10 +68,10 @@
 }
 
 #[tokio::test]
-async fn why_finds_the_host_that_took_the_request_in() {
-    let world = World::new("why", 2).await;
+async fn why_finds_the_host_that_received_the_request() {
+    let cluster = TestCluster::new("why", 2).await;
     let request_id = RequestId { incarnation: Incarnation(2), sequence: 31 };
-    world.daemons[1].recent.insert(RequestRecord {
+    cluster.daemons[1].recent.insert(RequestRecord {
         request_id,
         partner: Some("nadifa".parse().expect("a partner")),
         class: None,
@@ -81,34 +81,34 @@
         took_ms: Millis(4),
         steps: vec![RequestStep { after_ms: Millis(1), what: "queued", server: None }],
     });
-    let explained = world.run(&["why", &request_id.to_string()]).await;
+    let explained = cluster.run(&["why", &request_id.to_string()]).await;
     assert_eq!(explained.code, 0, "{}", explained.text);
     assert!(explained.text.contains("not-run (queue-full)"), "{}", explained.text);
     assert_eq!(explained.json["host"], "entry-1");
-    let other = world.run(&["why", "1-1"]).await;
+    let other = cluster.run(&["why", "1-1"]).await;
     assert_eq!(other.code, 8, "{}", other.text);
 }
 
 #[tokio::test]
-async fn members_answers_for_each_host() {
-    let world = World::new("members", 2).await;
-    let members = world.run(&["members"]).await;
+async fn members_lists_the_view_of_each_host() {
+    let cluster = TestCluster::new("members", 2).await;
+    let members = cluster.run(&["members"]).await;
     assert_eq!(members.json.as_array().map(Vec::len), Some(2));
     assert!(members.text.starts_with("as seen by entry-0, entry-1"), "{}", members.text);
 }
 
-/// The addresses are wrong or every daemon is down.
+/// No host answers, because the addresses are wrong or all daemons are down.
 #[tokio::test]
-async fn no_host_is_a_code_of_its_own() {
-    let world = World::new("no-host", 1).await;
-    world.daemons[0].stop.cancel();
-    let ended = world.run(&["status"]).await;
-    assert_eq!(ended.code, 3, "{}", ended.text);
-    assert!(ended.text.contains("check the addresses"), "{}", ended.text);
+async fn an_unanswered_query_has_its_own_exit_code() {
+    let cluster = TestCluster::new("no-host", 1).await;
+    cluster.daemons[0].stop.cancel();
+    let output = cluster.run(&["status"]).await;
+    assert_eq!(output.code, 3, "{}", output.text);
+    assert!(output.text.contains("check the addresses"), "{}", output.text);
 }
 
 #[tokio::test]
-async fn what_is_not_given_is_named() {
+async fn a_missing_setting_is_named() {
     let status = run(&["status"]).await;
     assert_eq!(status.code, 2, "{}", status.text);
     assert!(status.text.contains("--host"), "{}", status.text);
--- a/crates/daemon/src/cmd/check.rs
+++ b/crates/daemon/src/cmd/check.rs
@@ -6,7 +6,7 @@
 use hibiscusvale::relay::RelaySettings;
 use hibiscusvale::settings;
 
-/// Checks a settings file.
+/// Checks a settings file without starting the daemon.
 #[derive(Debug, Options)]
 pub struct Check {
     #[options(help = "print this help")]
@@ -18,7 +18,7 @@
 }
 
 impl Check {
-    /// Says nothing when the file is in order.
+    /// Prints nothing if the file is valid.
     pub fn run(self) -> anyhow::Result<()> {
         if self.relay {
             RelaySettings::load(&self.file)?;
--- a/crates/daemon/src/cmd/mod.rs
+++ b/crates/daemon/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The command line of the daemon.
+//! Command line of the daemon.
 
 mod check;
 mod relay;
@@ -9,19 +9,19 @@
 use gumdrop::Options;
 use hibiscusvale::settings::SettingsError;
 
-/// Exit code of a settings file that was refused; see `hibiscusvaled(8)`.
+/// Exit code for invalid settings; see `hibiscusvaled(8)`.
 const EXIT_SETTINGS: u8 = 2;
 
-/// Exit code of any other failure.
+/// Exit code for any other failure.
 const EXIT_FAILURE: u8 = 1;
 
 /// Arguments of `hibiscusvaled`.
 #[derive(Debug, Options)]
 pub struct Args {
-    /// Whether help was asked for; the parser answers it.
+    /// Whether to print the help; handled by the parser.
     #[options(help = "print this help")]
     help: bool,
-    /// Whether the version was asked for.
+    /// Whether to print the version.
     #[options(no_short, help = "print the version")]
     version: bool,
     #[options(command)]
@@ -31,10 +31,10 @@
 #[derive(Debug, Options)]
 enum Command {
     /// Checks a settings file.
-    #[options(help = "check a settings file and say what is wrong with it")]
+    #[options(help = "check a settings file and report its errors")]
     Check(check::Check),
-    /// Runs the daemon on the users' platform.
-    #[options(help = "relay by the routes in the platform's store")]
+    /// Runs the daemon as a relay on the platform.
+    #[options(help = "relay requests by the routes in the platform's store")]
     Relay(relay::Relay),
     /// Runs the daemon.
     #[options(help = "run the daemon")]
@@ -42,16 +42,16 @@
 }
 
 impl Args {
-    /// Reads the command line; ends the process when it asks for help or is not understood.
+    /// Parses the command line; exits the process after printing help or a usage error.
     pub fn parse() -> Self {
         Self::parse_args_default_or_exit()
     }
 
-    /// Does what the command line says.
+    /// Runs the command.
     ///
     /// # Errors
     ///
-    /// Whatever went wrong, for [`exit_code`].
+    /// The error of the command, for [`exit_code`].
     pub fn run(self) -> anyhow::Result<()> {
         if self.version {
             println!("hibiscusvaled {}", env!("CARGO_PKG_VERSION"));
@@ -66,7 +66,7 @@
     }
 }
 
-/// The exit code for an error.
+/// Exit code for the error of a command.
 pub fn exit_code(error: &anyhow::Error) -> ExitCode {
     if error.is::<SettingsError>() { ExitCode::from(EXIT_SETTINGS) } else { ExitCode::from(EXIT_FAILURE) }
 }
--- a/crates/daemon/src/cmd/relay.rs
+++ b/crates/daemon/src/cmd/relay.rs
@@ -11,12 +11,12 @@
     PlatformWire, Store, StoreEvidence, StoreLog, StoreRegister, StoreServers, StoreTables,
 };
 
-use crate::signals::{self, Asked};
+use crate::signals::{self, LifecycleRequest};
 
-/// Pause between looks at the settings file, which may change without a signal.
-const LOOK: Duration = Duration::from_secs(5);
+/// Interval between reloads of the settings file, which may change without a signal.
+const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Runs the daemon on the users' platform until it is told to stop.
+/// Runs the daemon as a relay on the platform until a stop is requested.
 #[derive(Debug, Options)]
 pub struct Relay {
     #[options(help = "print this help")]
@@ -26,9 +26,9 @@
 }
 
 impl Relay {
-    /// Returns after a graceful stop. Further signals change nothing: the grace period bounds the stop.
+    /// Returns after a graceful stop. Further signals have no effect: the grace period bounds the shutdown.
     pub fn run(self) -> anyhow::Result<()> {
-        // First of all: without a handler SIGHUP ends the process, and settings may change while it starts.
+        // Handlers come first: by default SIGHUP ends the process, and it may arrive during startup when settings change.
         let signals = signals::watch()?;
         let settings = RelaySettings::load(&self.file)?;
         let store = Store::new(settings.store.address);
@@ -42,9 +42,9 @@
         };
         let mut daemon = RelayDaemon::start(settings, adapters, new_incarnation())?;
         loop {
-            match signals.wait_for(LOOK) {
-                Some(Asked::Stop | Asked::Superseded) => break,
-                Some(Asked::Reload) | None => {
+            match signals.wait_for(RELOAD_INTERVAL) {
+                Some(LifecycleRequest::Stop | LifecycleRequest::Superseded) => break,
+                Some(LifecycleRequest::Reload) | None => {
                     daemon.reload(RelaySettings::load(&self.file));
                     store.move_to(daemon.settings().store.address);
                 }
--- a/crates/daemon/src/cmd/run.rs
+++ b/crates/daemon/src/cmd/run.rs
@@ -6,9 +6,9 @@
 use hibiscusvale::daemon::{Daemon, ExternalSystems, new_incarnation};
 use hibiscusvale::settings::Settings;
 
-use crate::signals::{self, Asked};
+use crate::signals::{self, LifecycleRequest};
 
-/// Runs the daemon until it is told to stop.
+/// Runs the daemon until a stop is requested.
 #[derive(Debug, Options)]
 pub struct Run {
     #[options(help = "print this help")]
@@ -18,15 +18,15 @@
 }
 
 impl Run {
-    /// Returns after a graceful stop; a second signal ends the process at once.
+    /// Returns after a graceful stop; a second stop signal exits the process at once.
     pub fn run(self) -> anyhow::Result<()> {
-        // First of all: without a handler SIGHUP ends the process, and settings may change while it starts.
+        // Handlers come first: by default SIGHUP ends the process, and it may arrive during startup when settings change.
         let signals = signals::watch()?;
         let settings = Settings::load(&self.file)?;
         let incarnation = new_incarnation();
         let edges = ExternalSystems::new(&settings, incarnation);
         let daemon = Daemon::start(&settings, edges, incarnation)?;
-        // Where the settings leave the port to the system, this is how one learns it.
+        // Prints the addresses, since settings with port 0 let the system choose the port.
         println!(
             "{{\"callers\":\"{}\",\"operators\":\"{}\",\"peers\":\"{}\"}}",
             daemon.callers_address(),
@@ -34,21 +34,21 @@
             daemon.peer_address()
         );
         let sender = signals.sender();
-        // Whoever does not listen any more has been told to stop already.
+        // Sending fails only after the receiver is dropped, which means that the daemon is stopping already.
         daemon.on_superseded(move || {
-            let _ = sender.send(Asked::Superseded);
+            let _ = sender.send(LifecycleRequest::Superseded);
         });
         loop {
             match signals.wait() {
-                Asked::Stop => break,
-                Asked::Superseded => {
+                LifecycleRequest::Stop => break,
+                LifecycleRequest::Superseded => {
                     eprintln!("hibiscusvaled: stopping, another process runs under this host's name");
                     break;
                 }
-                Asked::Reload => eprintln!("hibiscusvaled: settings are read at the start only"),
+                LifecycleRequest::Reload => eprintln!("hibiscusvaled: settings are read only at startup"),
             }
         }
-        signals.end_at_once_on_the_next();
+        signals.exit_on_next_stop();
         daemon.stop();
         Ok(())
     }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The hibiscusvale daemon: one on each entry host.
+//! The hibiscusvale daemon, which runs on each entry host.
 
 mod cmd;
 mod signals;
--- a/crates/daemon/src/signals.rs
+++ b/crates/daemon/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: SIGTERM and SIGINT ask for a graceful stop, SIGHUP for another look at the settings.
+//! Signal handling: SIGTERM and SIGINT request a graceful stop, SIGHUP a reload of the settings.
 
 use std::io;
 use std::process;
@@ -9,32 +9,32 @@
 use tokio::runtime::Builder;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Exit code after a second signal: 128 and the number of SIGTERM, as shells report it.
-const EXIT_AT_ONCE: i32 = 143;
+/// Exit code after a second stop signal: 128 plus the number of SIGTERM, as shells report it.
+const EXIT_SIGTERM: i32 = 143;
 
-/// What the process is asked for.
+/// Request to the daemon process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Asked {
-    /// Stop, and let every request in flight end.
+pub enum LifecycleRequest {
+    /// Stop once all requests in flight have ended.
     Stop,
-    /// The same: another process runs under this host's name, and the other daemons listen to that one.
+    /// Stop in the same way, because another process runs under this host's name and the other daemons follow that one.
     Superseded,
-    /// Read the settings again.
+    /// Reload the settings.
     Reload,
 }
 
-/// The signals as they arrive.
+/// Receiver of stop and reload requests, from signals and from within the process.
 #[derive(Debug)]
 pub struct Signals {
-    arrivals: mpsc::Receiver<Asked>,
-    sender: mpsc::Sender<Asked>,
+    requests: mpsc::Receiver<LifecycleRequest>,
+    sender: mpsc::Sender<LifecycleRequest>,
 }
 
-/// Starts to watch SIGTERM, SIGINT and SIGHUP.
+/// Installs the handlers for SIGTERM, SIGINT and SIGHUP.
 ///
 /// # Errors
 ///
-/// The system's error when a handler cannot be set.
+/// The system's error if a handler cannot be installed.
 pub fn watch() -> io::Result<Signals> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
     let (mut terminate, mut interrupt, mut hangup) = runtime.block_on(async {
@@ -42,55 +42,55 @@
             [SignalKind::terminate(), SignalKind::interrupt(), SignalKind::hangup()].map(signal);
         Ok::<_, io::Error>((terminate?, interrupt?, hangup?))
     })?;
-    let (sender, arrivals) = mpsc::channel();
-    let signalled = sender.clone();
+    let (sender, requests) = mpsc::channel();
+    let signal_sender = sender.clone();
     thread::Builder::new().name("signals".to_owned()).spawn(move || {
         runtime.block_on(async {
             loop {
-                let asked = tokio::select! {
-                    arrived = terminate.recv() => arrived.map(|()| Asked::Stop),
-                    arrived = interrupt.recv() => arrived.map(|()| Asked::Stop),
-                    arrived = hangup.recv() => arrived.map(|()| Asked::Reload),
+                let request = tokio::select! {
+                    received = terminate.recv() => received.map(|()| LifecycleRequest::Stop),
+                    received = interrupt.recv() => received.map(|()| LifecycleRequest::Stop),
+                    received = hangup.recv() => received.map(|()| LifecycleRequest::Reload),
                 };
-                let Some(asked) = asked else {
+                let Some(request) = request else {
                     return;
                 };
-                if signalled.send(asked).is_err() {
+                if signal_sender.send(request).is_err() {
                     return;
                 }
             }
         });
     })?;
-    Ok(Signals { arrivals, sender })
+    Ok(Signals { requests, sender })
 }
 
 impl Signals {
-    /// A way to ask for a stop from within.
-    pub fn sender(&self) -> mpsc::Sender<Asked> {
+    /// Sender for requests from within the process.
+    pub fn sender(&self) -> mpsc::Sender<LifecycleRequest> {
         self.sender.clone()
     }
 
-    /// Waits for a signal.
-    pub fn wait(&self) -> Asked {
-        self.arrivals.recv().unwrap_or(Asked::Stop)
+    /// Waits for the next request.
+    pub fn wait(&self) -> LifecycleRequest {
+        self.requests.recv().unwrap_or(LifecycleRequest::Stop)
     }
 
-    /// Waits for a signal, but not longer than `limit`.
-    pub fn wait_for(&self, limit: Duration) -> Option<Asked> {
-        match self.arrivals.recv_timeout(limit) {
-            Ok(asked) => Some(asked),
+    /// Waits for the next request; `None` after `limit`.
+    pub fn wait_for(&self, limit: Duration) -> Option<LifecycleRequest> {
+        match self.requests.recv_timeout(limit) {
+            Ok(request) => Some(request),
             Err(RecvTimeoutError::Timeout) => None,
-            Err(RecvTimeoutError::Disconnected) => Some(Asked::Stop),
+            Err(RecvTimeoutError::Disconnected) => Some(LifecycleRequest::Stop),
         }
     }
 
-    /// From here on a signal to stop ends the process: streams are cut off, and the other daemons release what it
-    /// held on engines.
-    pub fn end_at_once_on_the_next(self) {
+    /// Exits the process on the next stop request: open streams break, and the other daemons release its resources on
+    /// engines.
+    pub fn exit_on_next_stop(self) {
         thread::spawn(move || {
-            while let Ok(asked) = self.arrivals.recv() {
-                if asked == Asked::Stop {
-                    process::exit(EXIT_AT_ONCE);
+            while let Ok(request) = self.requests.recv() {
+                if request == LifecycleRequest::Stop {
+                    process::exit(EXIT_SIGTERM);
                 }
             }
         });
