--- a/crates/daemon/src/cmd/relay.rs
+++ b/crates/daemon/src/cmd/relay.rs
@@ -46,7 +46,7 @@
                 Some(LifecycleRequest::Stop | LifecycleRequest::Superseded) => break,
                 Some(LifecycleRequest::Reload) | None => {
                     daemon.reload(RelaySettings::load(&self.file));
-                    store.move_to(daemon.settings().store.address);
+                    store.set_address(daemon.settings().store.address);
                 }
             }
         }
