--- a/spec/claim.pml
+++ b/spec/claim.pml
@@ -1,54 +1,54 @@
 /* Claims and outcomes of calls with one idempotency key.
  *
- * A caller makes three calls: 0 and 2 at daemon 0, 1 at daemon 1. A call asks for a claim; from then on a record
- * of it may be appended at any time and any number of times, by whichever daemon believes that it owns the
- * partition. So lost, doubled, late and overtaking messages, cuts, an outage of the log, lost answers to appends
- * and daemons that differ on membership are all the same here: records come when they come, or never. A verdict
- * is read from a prefix of the log, however stale. Any process may stand still for any time, a daemon may die at
- * any step, and a server may run a request that nobody waits for any more.
+ * A caller makes three calls: 0 and 2 at daemon 0, 1 at daemon 1. Once a call has requested a claim, its record may
+ * be appended at any time, any number of times or never, by any daemon that considers itself the owner of the
+ * partition. This covers lost, duplicated, delayed and reordered messages, network partitions, an outage of the
+ * log, lost replies to appends and daemons that disagree on membership. A verdict is read from any prefix of the
+ * log, however stale. Any process may pause for any time, a daemon may crash at any step, and a server may execute
+ * a request after its caller has stopped waiting.
  *
- * Each macro that spec/check lists leaves one safeguard out; the checker must reject each. */
+ * Each mutant macro listed in spec/check removes one safeguard; the checker must reject every mutant. */
 
 #define CALLS 3
 #ifndef SLOTS
-#define SLOTS 5          /* records that the log has room for */
+#define SLOTS 5          /* maximum number of records in the log */
 #endif
 #ifndef CRASHES
 #define CRASHES 1
 #endif
-#define TRIES 2          /* attempts at a server */
+#define MAX_ATTEMPTS 2   /* attempts to send a call to a server */
 
-#define NOTHING 0
+#define NONE 0
 #define CLAIM(call)   ((call) + 1)
 #define RELEASE(call) ((call) + 1 + CALLS)
 
-#define ANSWERED 1       /* outcomes told, and ends remembered */
+#define ANSWERED 1       /* outcomes reported to callers or held by daemons */
 #define NOT_RUN 2
 #define UNKNOWN 3
 #define RUNNING 4
 
 byte log[SLOTS];
 byte length = 0;
-bool asked[CALLS];       /* a claim may be appended */
-bool freed[CALLS];       /* a release may be appended */
-byte life[2];
-byte sent[CALLS];        /* copies on their way to a server */
-byte ran[CALLS];
-byte ended[CALLS];       /* what the call's daemon remembers of it */
-byte told[CALLS];
+bool claim_requested[CALLS];   /* a claim record may be appended */
+bool release_requested[CALLS]; /* a release record may be appended */
+byte incarnation[2];
+byte in_flight[CALLS];         /* copies of the request on the way to a server */
+byte executions[CALLS];
+byte local_outcome[CALLS];     /* outcome in the memory of the call's daemon; lost in a crash */
+byte reported[CALLS];
 byte crashes = 0;
-byte memory[2];          /* only for MEMORY_OWNER: holders by each daemon's memory */
+byte believed_holder[2];       /* MEMORY_OWNER only: holder in each daemon's memory */
 
-/* The holder after the first `prefix` records: the first claim that was not released counts. */
+/* Sets `holder` to the holder after the first `prefix` records: the first claim that is not released. */
 inline read_prefix(prefix) {
     d_step {
-        holder = NOTHING;
+        holder = NONE;
         index = 0;
         do
         :: index < prefix ->
             if
-            :: log[index] <= CALLS && holder == NOTHING -> holder = log[index]
-            :: log[index] > CALLS && holder == log[index] - CALLS -> holder = NOTHING
+            :: log[index] <= CALLS && holder == NONE -> holder = log[index]
+            :: log[index] > CALLS && holder == log[index] - CALLS -> holder = NONE
             :: else
             fi;
             index = index + 1
@@ -58,54 +58,54 @@
     }
 }
 
-inline tell(call, outcome) {
-    assert(outcome != NOT_RUN || (ran[call] == 0 && sent[call] == 0));
-    told[call] = outcome
+inline report_outcome(call, outcome) {
+    assert(outcome != NOT_RUN || (executions[call] == 0 && in_flight[call] == 0));
+    reported[call] = outcome
 }
 
-inline run_at_server(call) {
-    ran[call] = ran[call] + 1;
-    assert(ran[0] + ran[1] + ran[2] <= 1);
-    assert(told[call] != NOT_RUN)
+inline execute(call) {
+    executions[call] = executions[call] + 1;
+    assert(executions[0] + executions[1] + executions[2] <= 1);
+    assert(reported[call] != NOT_RUN)
 }
 
-inline crash(d) {
+inline crash(daemon) {
     crashes = crashes + 1;
-    life[d] = life[d] + 1;
-    memory[d] = NOTHING;
+    incarnation[daemon] = incarnation[daemon] + 1;
+    believed_holder[daemon] = NONE;
     if
-    :: d == 0 -> ended[0] = NOTHING; ended[2] = NOTHING
-    :: else -> ended[1] = NOTHING
+    :: daemon == 0 -> local_outcome[0] = NONE; local_outcome[2] = NONE
+    :: else -> local_outcome[1] = NONE
     fi
 }
 
-/* One call, at the daemon that took it in, which alone may run it. */
-proctype Call(byte number; byte d) {
-    byte tries, call, holder, index, prefix;
+/* One call, at the daemon that received it; only this daemon may send it to a server. */
+proctype Call(byte number; byte daemon) {
+    byte attempts, call, holder, index, prefix;
     atomic {
         call = number;
 #ifdef ID_REUSED
         if
-        :: number == 2 && life[d] > 0 -> call = 0
+        :: number == 2 && incarnation[daemon] > 0 -> call = 0
         :: else
         fi;
 #endif
-        asked[call] = true
+        claim_requested[call] = true
     };
     {
 #ifdef RUN_BEFORE_CLAIM
-        goto go;
+        goto won;
 #endif
         if
 #ifdef MEMORY_OWNER
-        :: atomic { memory[0] == NOTHING -> memory[0] = CLAIM(call) }; goto go
-        :: atomic { memory[1] == NOTHING -> memory[1] = CLAIM(call) }; goto go
+        :: atomic { believed_holder[0] == NONE -> believed_holder[0] = CLAIM(call) }; goto won
+        :: atomic { believed_holder[1] == NONE -> believed_holder[1] = CLAIM(call) }; goto won
 #endif
 #ifdef LOST_REPLY_IS_SUCCESS
-        :: goto go
+        :: goto won
 #endif
-        /* A verdict by a prefix in which somebody holds the key. The own claim's verdict is by a prefix that
-         * ends with the own record or behind it, so that nothing before it can be overlooked. */
+        /* Verdict from a prefix of the log in which some call holds the key. A call wins only by a prefix that
+         * includes its own record, so no earlier claim is missed. */
         :: atomic {
                select (prefix : 1 .. SLOTS);
                prefix <= length ->
@@ -114,65 +114,67 @@
 #else
                read_prefix(prefix);
 #endif
-               holder != NOTHING && holder <= CALLS;
+               holder != NONE && holder <= CALLS;
                printf("TRACE verdict %d %d %d\n", call, holder - 1, prefix);
                prefix = 0;
                if
-               :: holder == CLAIM(call) -> holder = 0; goto go
-               :: else -> goto second
+               :: holder == CLAIM(call) -> holder = 0; goto won
+               :: else -> goto held
                fi
            }
-        /* Refused, at any time. The call is forgotten before the caller is told, so a later verdict for it
-         * runs nothing. */
-        :: atomic { ended[call] = NOT_RUN; tell(call, NOT_RUN); freed[call] = true };
+        /* Refusal, possible at any time. The daemon drops the call before it reports NOT_RUN to the caller, so a
+         * later verdict for the call does not start it. */
+        :: atomic { local_outcome[call] = NOT_RUN; report_outcome(call, NOT_RUN); release_requested[call] = true };
 #ifdef LATE_VERDICT_COUNTS
            atomic {
                read_prefix(length);
                if
-               :: holder == CLAIM(call) -> holder = 0; goto go
+               :: holder == CLAIM(call) -> holder = 0; goto won
                :: else -> holder = 0; goto done
                fi
            }
 #endif
            goto done
         fi;
-second: atomic {
+held:   atomic {
             holder = holder - 1;
             if
-            /* The holder's daemon is asked what became of it; no answer is UNKNOWN. */
-            :: ended[holder] == ANSWERED -> assert(ran[holder] == 1); tell(call, ANSWERED)
-            :: ended[holder] == NOT_RUN -> tell(call, NOT_RUN)
-            :: tell(call, UNKNOWN)
+            /* Asks the holder's daemon for the holder's outcome; without an answer the outcome is UNKNOWN. */
+            :: local_outcome[holder] == ANSWERED -> assert(executions[holder] == 1); report_outcome(call, ANSWERED)
+            :: local_outcome[holder] == NOT_RUN -> report_outcome(call, NOT_RUN)
+            :: report_outcome(call, UNKNOWN)
             fi;
             holder = 0
         };
         goto done;
-go:     ended[call] = RUNNING;
+won:    local_outcome[call] = RUNNING;
 send:   atomic {
-            tries = tries + 1;
+            attempts = attempts + 1;
             if
-            /* Connection refused: proof that it did not run. */
-            :: tries < TRIES -> goto send
-            :: ended[call] = NOT_RUN; tell(call, NOT_RUN); freed[call] = true; goto done
-            :: sent[call] = sent[call] + 1
+            /* Connection refused, which proves that the request did not run: it may be sent again. */
+            :: attempts < MAX_ATTEMPTS -> goto send
+            :: local_outcome[call] = NOT_RUN; report_outcome(call, NOT_RUN); release_requested[call] = true;
+               goto done
+            :: in_flight[call] = in_flight[call] + 1
             fi
         };
         if
-        :: atomic { ran[call] > 0 && sent[call] == 0 -> ended[call] = ANSWERED; tell(call, ANSWERED) }
-        /* The connection broke, or the answer took too long. */
+        :: atomic { executions[call] > 0 && in_flight[call] == 0 ->
+                    local_outcome[call] = ANSWERED; report_outcome(call, ANSWERED) }
+        /* The connection broke or the answer timed out after the request was written. */
 #ifdef RESEND_AFTER_WRITE
-        :: tries < TRIES -> goto send
+        :: attempts < MAX_ATTEMPTS -> goto send
 #endif
 #ifdef NOT_RUN_AFTER_WRITE
-        :: atomic { ended[call] = UNKNOWN; tell(call, NOT_RUN) }
+        :: atomic { local_outcome[call] = UNKNOWN; report_outcome(call, NOT_RUN) }
 #endif
 #ifdef UNKNOWN_FREES_KEY
-        :: atomic { ended[call] = UNKNOWN; tell(call, UNKNOWN); freed[call] = true }
+        :: atomic { local_outcome[call] = UNKNOWN; report_outcome(call, UNKNOWN); release_requested[call] = true }
 #endif
-        :: atomic { ended[call] = UNKNOWN; tell(call, UNKNOWN) }
+        :: atomic { local_outcome[call] = UNKNOWN; report_outcome(call, UNKNOWN) }
         fi;
 done:   skip
-    } unless { life[d] != 0 && (number != 2 || life[d] > 1) }
+    } unless { incarnation[daemon] != 0 && (number != 2 || incarnation[daemon] > 1) }
 }
 
 proctype Environment() {
@@ -181,13 +183,13 @@
     :: atomic {
            select (call : 0 .. CALLS - 1);
            if
-           :: asked[call] && length < SLOTS ->
+           :: claim_requested[call] && length < SLOTS ->
                log[length] = CLAIM(call); length = length + 1; printf("TRACE claim %d\n", call)
-           :: freed[call] && length < SLOTS ->
+           :: release_requested[call] && length < SLOTS ->
                log[length] = RELEASE(call); length = length + 1; printf("TRACE release %d\n", call)
-           /* A server runs what reached it, or loses it. */
-           :: sent[call] > 0 -> sent[call] = sent[call] - 1; run_at_server(call)
-           :: sent[call] > 0 -> sent[call] = sent[call] - 1
+           /* The server executes a request, or the request is lost. */
+           :: in_flight[call] > 0 -> in_flight[call] = in_flight[call] - 1; execute(call)
+           :: in_flight[call] > 0 -> in_flight[call] = in_flight[call] - 1
            :: else
            fi;
            call = 0
--- a/spec/config.pml
+++ b/spec/config.pml
@@ -1,15 +1,14 @@
-/* Configuration as a fold over the log, with versions, checkpoints and expiry.
+/* Configuration as a fold over the log, with versions, checkpoints and record expiry.
  *
- * Two operators publish changes, each made from the version that some daemon showed them. Two daemons fold the
- * log, relay their state to each other and append checkpoints. Moves of the environment: a daemon dies and is
- * replaced by one that knows nothing; any process stands still; relayed state is lost, doubled and arrives late;
- * the log is down for any time; its oldest records expire, up to all of them, also those behind the newest
- * checkpoint.
+ * Two operators publish changes, each based on a version read earlier from a daemon. Two daemons fold the log,
+ * relay their state to each other and append checkpoints. Faults: a daemon crashes and is replaced by one without
+ * state; any process pauses for any time; relayed state is lost, duplicated or delayed; the log is unavailable for
+ * any time; the oldest records expire, possibly all of them, including those after the newest checkpoint.
  *
- * The version in force is the offset of the accepted change, plus one; no configuration is version 0. What each
- * daemon has is compared with the fold over all records ever appended.
+ * The version in force is the offset of the accepted change plus one, or 0 without a configuration. Each daemon's
+ * version is compared with the fold over all records ever appended.
  *
- * Each macro that spec/check lists leaves one safeguard out; the checker must reject each. */
+ * Each mutant macro listed in spec/check removes one safeguard; the checker must reject every mutant. */
 
 #ifndef SLOTS
 #define SLOTS 5
@@ -18,125 +17,128 @@
 #define CRASHES 2
 #endif
 
-#define CHECKPOINT 100   /* base of a checkpoint's record; a change's is the version it was made from */
+#define CHECKPOINT 100   /* marks a checkpoint in `log` */
 
 #ifdef LOWER_OFFSET_ADOPTED
-#define ADOPTS(d) true
+#define ADOPTS(daemon) true
 #else
-#define ADOPTS(d) (told_position > position[d])
+#define ADOPTS(daemon) (relayed_position > position[daemon])
 #endif
 
-byte base[SLOTS];        /* by offset */
-byte stands_for[SLOTS];  /* of a checkpoint: number of records folded into it */
-byte state[SLOTS];       /* of a checkpoint: the version in force then */
-byte start = 0;          /* oldest record that is kept */
+byte log[SLOTS];                  /* by offset: base version of a change, or CHECKPOINT */
+byte checkpoint_position[SLOTS];  /* by offset: number of records folded into the checkpoint */
+byte checkpoint_version[SLOTS];   /* by offset: version in force in the checkpoint */
+byte start = 0;                   /* offset of the oldest record not expired */
 byte length = 0;
-byte truth[SLOTS + 1];   /* version in force after so many records */
-bool log_up = true;
+byte expected_version[SLOTS + 1]; /* version in force, by number of records folded */
+bool log_available = true;
 
-byte position[2];        /* records folded */
-byte version[2];         /* in force; 0 is none, and nothing is served */
-byte highest[2];         /* greatest version that this life had in force */
-byte told_position = 0;  /* one relayed state on its way */
-byte told_version = 0;
+byte position[2];          /* by daemon: number of records folded */
+byte version[2];           /* by daemon: version in force; at 0 it serves nothing */
+byte max_version[2];       /* by daemon: greatest version in force since its last crash */
+byte relayed_position = 0; /* relayed state in flight, at most one */
+byte relayed_version = 0;
 byte crashes = 0;
 
-inline check(d) {
-    /* All daemons that have folded as many records have the same configuration in force. */
-    assert(version[d] == truth[position[d]]);
-    /* What was in force is not undone. */
-    assert(version[d] >= highest[d]);
-    highest[d] = version[d]
+inline check_invariants(daemon) {
+    /* All daemons that have folded the same number of records have the same configuration in force. */
+    assert(version[daemon] == expected_version[position[daemon]]);
+    /* The version in force never decreases. */
+    assert(version[daemon] >= max_version[daemon]);
+    max_version[daemon] = version[daemon]
 }
 
 inline publish(from) {
-    base[length] = from;
+    log[length] = from;
     printf("TRACE change %d\n", from);
     if
-    :: from == truth[length] -> truth[length + 1] = length + 1
-    :: else -> truth[length + 1] = truth[length]
+    :: from == expected_version[length] -> expected_version[length + 1] = length + 1
+    :: else -> expected_version[length + 1] = expected_version[length]
     fi;
     length = length + 1
 }
 
-inline checkpoint(d) {
-    base[length] = CHECKPOINT;
-    printf("TRACE checkpoint %d %d\n", position[d], version[d]);
-    stands_for[length] = position[d];
-    state[length] = version[d];
-    truth[length + 1] = truth[length];
+inline checkpoint(daemon) {
+    log[length] = CHECKPOINT;
+    printf("TRACE checkpoint %d %d\n", position[daemon], version[daemon]);
+    checkpoint_position[length] = position[daemon];
+    checkpoint_version[length] = version[daemon];
+    expected_version[length + 1] = expected_version[length];
     length = length + 1
 }
 
-inline fold(d) {
+inline fold(daemon) {
     if
-    :: base[position[d]] == CHECKPOINT ->
+    :: log[position[daemon]] == CHECKPOINT ->
 #ifdef CHECKPOINT_FOLDED
-        version[d] = state[position[d]]
+        version[daemon] = checkpoint_version[position[daemon]]
 #else
         skip
 #endif
 #ifdef NO_VERSION_CHECK
-    :: base[position[d]] != CHECKPOINT -> version[d] = position[d] + 1
+    :: log[position[daemon]] != CHECKPOINT -> version[daemon] = position[daemon] + 1
 #else
-    :: base[position[d]] == version[d] -> version[d] = position[d] + 1
-    :: base[position[d]] != CHECKPOINT && base[position[d]] != version[d] -> skip
+    :: log[position[daemon]] == version[daemon] -> version[daemon] = position[daemon] + 1
+    :: log[position[daemon]] != CHECKPOINT && log[position[daemon]] != version[daemon] -> skip
 #endif
     fi;
-    position[d] = position[d] + 1
+    position[daemon] = position[daemon] + 1
 }
 
 proctype Operator() {
-    byte seen;
+    byte read_version;
     do
-    :: atomic { log_up && length < SLOTS -> seen = version[0]; }
-       /* Time passes in which the other operator may publish. */
+    :: atomic { log_available && length < SLOTS -> read_version = version[0]; }
+       /* The other operator may publish between the read and this publish. */
        if
-       :: atomic { log_up && length < SLOTS -> publish(seen) }
+       :: atomic { log_available && length < SLOTS -> publish(read_version) }
        :: skip
        fi;
-       seen = 0
+       read_version = 0
     od
 }
 
-proctype Daemon(byte d) {
-    byte at;
+proctype Daemon(byte daemon) {
+    byte offset;
     do
-    /* Reads the next record, if it is still kept. */
-    :: atomic { log_up && position[d] >= start && position[d] < length -> fold(d); check(d);
-                printf("TRACE fold %d %d %d\n", d, position[d], version[d]) }
-    /* Knows nothing, or less than the log still keeps: starts from a checkpoint and the records since the
-     * offset that it stands for, all of which must still be kept. */
+    /* Folds the next record, if it has not expired. */
+    :: atomic { log_available && position[daemon] >= start && position[daemon] < length ->
+                fold(daemon); check_invariants(daemon);
+                printf("TRACE fold %d %d %d\n", daemon, position[daemon], version[daemon]) }
+    /* A daemon without state, or behind the log, loads a checkpoint and then folds the records from the
+     * checkpoint's position on, none of which may have expired. */
     :: atomic {
-           log_up && start < length ->
-           select (at : 0 .. SLOTS - 1);
+           log_available && start < length ->
+           select (offset : 0 .. SLOTS - 1);
            if
-           :: at >= start && at < length && base[at] == CHECKPOINT && stands_for[at] > position[d] &&
-              stands_for[at] >= start ->
+           :: offset >= start && offset < length && log[offset] == CHECKPOINT &&
+              checkpoint_position[offset] > position[daemon] && checkpoint_position[offset] >= start ->
 #ifdef CHECKPOINT_DROPS_BETWEEN
-               position[d] = at + 1;
+               position[daemon] = offset + 1;
 #else
-               position[d] = stands_for[at];
+               position[daemon] = checkpoint_position[offset];
 #endif
-               version[d] = state[at];
-               printf("TRACE load %d %d %d\n", d, at, version[d]);
-               check(d)
+               version[daemon] = checkpoint_version[offset];
+               printf("TRACE load %d %d %d\n", daemon, offset, version[daemon]);
+               check_invariants(daemon)
            :: else
            fi;
-           at = 0
+           offset = 0
        }
 #ifdef EXPIRED_RECORDS_SKIPPED
-    :: atomic { log_up && position[d] < start -> position[d] = start; check(d) }
+    :: atomic { log_available && position[daemon] < start -> position[daemon] = start; check_invariants(daemon) }
 #endif
 #ifdef EMPTY_LOG_ADOPTED
-    :: atomic { log_up && start == length && length > 0 -> position[d] = length; version[d] = 0; check(d) }
+    :: atomic { log_available && start == length && length > 0 ->
+                position[daemon] = length; version[daemon] = 0; check_invariants(daemon) }
 #endif
-    :: atomic { log_up && length < SLOTS && version[d] != 0 -> checkpoint(d) }
-    /* Relays its state, or takes the other's: a state with more records only. */
-    :: atomic { version[d] != 0 -> told_position = position[d]; told_version = version[d] }
+    :: atomic { log_available && length < SLOTS && version[daemon] != 0 -> checkpoint(daemon) }
+    /* Relays its state, or adopts a relayed state that has more records folded. */
+    :: atomic { version[daemon] != 0 -> relayed_position = position[daemon]; relayed_version = version[daemon] }
     :: atomic {
-           told_version != 0 && ADOPTS(d) -> position[d] = told_position; version[d] = told_version; check(d);
-           printf("TRACE adopt %d %d %d\n", d, position[d], version[d])
+           relayed_version != 0 && ADOPTS(daemon) ->
+           position[daemon] = relayed_position; version[daemon] = relayed_version; check_invariants(daemon);
+           printf("TRACE adopt %d %d %d\n", daemon, position[daemon], version[daemon])
        }
     od
 }
@@ -144,12 +146,12 @@
 proctype Environment() {
     do
     :: atomic { start < length -> start = start + 1; printf("TRACE expire %d\n", start) }
-    :: atomic { log_up = !log_up }
-    :: atomic { told_version != 0 -> told_version = 0; told_position = 0 }
+    :: atomic { log_available = !log_available }
+    :: atomic { relayed_version != 0 -> relayed_version = 0; relayed_position = 0 }
     :: atomic { crashes < CRASHES -> crashes = crashes + 1;
-                position[0] = 0; version[0] = 0; highest[0] = 0; printf("TRACE crash 0\n") }
+                position[0] = 0; version[0] = 0; max_version[0] = 0; printf("TRACE crash 0\n") }
     :: atomic { crashes < CRASHES -> crashes = crashes + 1;
-                position[1] = 0; version[1] = 0; highest[1] = 0; printf("TRACE crash 1\n") }
+                position[1] = 0; version[1] = 0; max_version[1] = 0; printf("TRACE crash 1\n") }
     od
 }
 
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -1,131 +1,134 @@
-/* A lease kept as a chain of log records, and an engine that ignores fencing numbers.
+/* A lease recorded as a chain of log records, and an engine that does not check fencing numbers.
  *
- * Two candidates append records that name the record which they follow; one that follows another than the last
- * does not count. The holder counts its time from before it sent the append, a successor from when it read the
- * record. Moves of the environment: any process stands still for any time, appends land late, orders arrive at
- * any time until they expire.
+ * Two candidates append records, each of which names its predecessor; a record whose predecessor is not the last
+ * valid record is ignored. The holder measures its lease from before it sent the append, a successor from when it
+ * read the record. Faults: any process pauses for any time, appends are delayed, and orders arrive at any time
+ * until they expire.
  *
- * Each macro that spec/check lists leaves one safeguard out; the checker must reject each. */
+ * Each mutant macro listed in spec/check removes one safeguard; the checker must reject every mutant. */
 
-#define LEASE 2          /* time units that a record gives the lease for */
-#define ORDER 2          /* time units after which an engine drops an order */
+#define LEASE_DURATION 2 /* time units for which a record grants the lease */
+#define ORDER_VALIDITY 2 /* time units after which an engine rejects an order */
 #ifndef TIME
 #define TIME 7           /* time units explored */
 #endif
 
 #ifndef RECORDS
-#define RECORDS 4        /* records explored */
+#define RECORDS 4        /* maximum number of valid records */
 #endif
 
 #ifdef NO_TAKEOVER_WAIT
-#define WAIT 0
+#define TAKEOVER_WAIT 0
 #else
 #ifdef NO_WAIT_FOR_ORDERS
-#define WAIT LEASE
+#define TAKEOVER_WAIT LEASE_DURATION
 #else
-#define WAIT (LEASE + ORDER)
+#define TAKEOVER_WAIT (LEASE_DURATION + ORDER_VALIDITY)
 #endif
 #endif
 
 #ifdef CHAIN_NOT_CHECKED
-#define COUNTS(c) true
+#define IS_VALID(candidate) true
 #else
-#define COUNTS(c) (follows[c] == last)
+#define IS_VALID(candidate) (predecessor[candidate] == last_record)
 #endif
 
 #ifdef NO_CLOCK_CHECK
-#define HOLDS(c) (until[c] > 0)
+#define HOLDS_LEASE(candidate) (lease_end[candidate] > 0)
 #else
-#define HOLDS(c) (now < until[c])
+#define HOLDS_LEASE(candidate) (now < lease_end[candidate])
 #endif
 
 byte now = 0;
-byte last = 0;           /* number of the last record that counted; it is the offset, too */
-byte holder = 2;         /* who wrote it; 2 is nobody */
-byte fencing = 0;        /* of the holder */
+byte last_record = 0;    /* number of the last valid record, which is also its offset */
+byte holder = 2;         /* candidate that appended the last valid record; 2 for none */
+byte fencing_number = 0; /* of the holder */
 
-byte seen[2];            /* last record that a candidate has read */
-byte seen_holder[2];
-byte seen_at[2];
-bool on_way[2];          /* an append that has not landed */
-bool landed[2];
-byte follows[2];
-byte sent_at[2];
-byte until[2];           /* end of the lease by the holder's clock */
-byte number[2];          /* its fencing number */
+byte last_read[2];        /* by candidate: last record read */
+byte read_holder[2];      /* holder as of the last record read */
+byte read_at[2];
+bool append_in_flight[2]; /* an append was sent and has not reached the log */
+bool appended[2];         /* the append was valid and has not been read back */
+byte predecessor[2];
+byte sent_at[2];          /* time at which the append was sent */
+byte lease_end[2];        /* end of the lease, measured by the holder */
+byte own_fencing[2];      /* by candidate: fencing number of its lease */
 
-byte order_number[2];    /* an order on its way to the engine; 0 is none */
-byte order_until[2];
-byte engine = 0;         /* number of the last order carried out */
+byte order_fencing[2];   /* order in flight to the engine, by candidate; 0 for none */
+byte order_expiry[2];
+byte engine_fencing = 0; /* fencing number of the last order executed */
 
-inline land(c) {
-    on_way[c] = false;
+inline append(candidate) {
+    append_in_flight[candidate] = false;
     if
-    :: COUNTS(c) ->
-        last = last + 1;
+    :: IS_VALID(candidate) ->
+        last_record = last_record + 1;
         if
-        :: holder == c -> skip
-        :: else -> fencing = last
+        :: holder == candidate -> skip
+        :: else -> fencing_number = last_record
         fi;
-        holder = c;
-        landed[c] = true
+        holder = candidate;
+        appended[candidate] = true
     :: else
     fi
 }
 
-proctype Candidate(byte c) {
+proctype Candidate(byte candidate) {
     do
     /* Reads the stream to its end. */
     :: atomic {
-           seen[c] != last ->
-           seen[c] = last; seen_holder[c] = holder; seen_at[c] = now;
+           last_read[candidate] != last_record ->
+           last_read[candidate] = last_record; read_holder[candidate] = holder; read_at[candidate] = now;
            if
-           :: landed[c] && holder == c && !on_way[c] ->
+           :: appended[candidate] && holder == candidate && !append_in_flight[candidate] ->
 #ifdef TIME_COUNTED_FROM_READING
-               until[c] = now + LEASE;
+               lease_end[candidate] = now + LEASE_DURATION;
 #else
-               until[c] = sent_at[c] + LEASE;
+               lease_end[candidate] = sent_at[candidate] + LEASE_DURATION;
 #endif
-               number[c] = fencing
-           :: holder != c -> until[c] = 0
+               own_fencing[candidate] = fencing_number
+           :: holder != candidate -> lease_end[candidate] = 0
            :: else
            fi;
-           landed[c] = false
+           appended[candidate] = false
        }
-    /* Takes or renews the lease. */
+    /* Takes over or renews the lease. */
     :: atomic {
-           !on_way[c] && !landed[c] && last < RECORDS &&
-           (seen_holder[c] == 2 || seen_holder[c] == c || now >= seen_at[c] + WAIT) ->
-           on_way[c] = true; follows[c] = seen[c]; sent_at[c] = now
+           !append_in_flight[candidate] && !appended[candidate] && last_record < RECORDS &&
+           (read_holder[candidate] == 2 || read_holder[candidate] == candidate ||
+            now >= read_at[candidate] + TAKEOVER_WAIT) ->
+           append_in_flight[candidate] = true; predecessor[candidate] = last_read[candidate];
+           sent_at[candidate] = now
        }
-    :: atomic { HOLDS(c) && order_number[c] == 0 -> order_number[c] = number[c]; order_until[c] = now + ORDER }
+    :: atomic { HOLDS_LEASE(candidate) && order_fencing[candidate] == 0 ->
+                order_fencing[candidate] = own_fencing[candidate]; order_expiry[candidate] = now + ORDER_VALIDITY }
     od
 }
 
-inline carry_out(c) {
-    /* An old holder's order is never carried out after a newer holder's. */
-    assert(order_number[c] >= engine);
-    engine = order_number[c];
-    order_number[c] = 0;
-    order_until[c] = 0
+inline execute_order(candidate) {
+    /* An order of an earlier holder is never executed after an order of a later holder. */
+    assert(order_fencing[candidate] >= engine_fencing);
+    engine_fencing = order_fencing[candidate];
+    order_fencing[candidate] = 0;
+    order_expiry[candidate] = 0
 }
 
 proctype Environment() {
     do
     :: atomic { now < TIME -> now = now + 1 }
-    :: atomic { on_way[0] -> land(0) }
-    :: atomic { on_way[1] -> land(1) }
-    :: atomic { order_number[0] > 0 && now < order_until[0] -> carry_out(0) }
-    :: atomic { order_number[1] > 0 && now < order_until[1] -> carry_out(1) }
-    :: atomic { order_number[0] > 0 -> order_number[0] = 0; order_until[0] = 0 }
-    :: atomic { order_number[1] > 0 -> order_number[1] = 0; order_until[1] = 0 }
+    :: atomic { append_in_flight[0] -> append(0) }
+    :: atomic { append_in_flight[1] -> append(1) }
+    :: atomic { order_fencing[0] > 0 && now < order_expiry[0] -> execute_order(0) }
+    :: atomic { order_fencing[1] > 0 && now < order_expiry[1] -> execute_order(1) }
+    :: atomic { order_fencing[0] > 0 -> order_fencing[0] = 0; order_expiry[0] = 0 }
+    :: atomic { order_fencing[1] > 0 -> order_fencing[1] = 0; order_expiry[1] = 0 }
     od
 }
 
 init {
     atomic {
-        seen_holder[0] = 2;
-        seen_holder[1] = 2;
+        read_holder[0] = 2;
+        read_holder[1] = 2;
         run Candidate(0);
         run Candidate(1);
         run Environment()
