--- a/crates/client/tests/client/cluster.rs
+++ b/crates/client/tests/client/cluster.rs
@@ -58,7 +58,7 @@
     /// Starts a log and `daemons` daemons; `name` is the directory of the test's files.
     pub async fn new(name: &str, daemons: usize) -> Self {
         let log = LogService::start(LogSettings::default()).await.expect("a log");
-        let daemon_log = log.share("127.0.0.1:0".parse().expect("an address")).await.expect("a log");
+        let daemon_log = log.serve_at("127.0.0.1:0".parse().expect("an address")).await.expect("a log");
         let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
         std::fs::create_dir_all(&directory).expect("a directory");
         let mut cluster = Self { log, daemon_log, daemons: Vec::new(), directory };
--- a/crates/client/tests/client/publishing.rs
+++ b/crates/client/tests/client/publishing.rs
@@ -1,6 +1,6 @@
 //! Publishing: the normal case, conflicts, and failures of the log, the keys and the hosts.
 
-use hibiscusvale_standins::control::Steer;
+use hibiscusvale_standins::control::FaultUpdate;
 
 use crate::cluster::{TestCluster, run};
 
@@ -66,12 +66,16 @@
 async fn the_second_of_two_concurrent_changes_is_rejected_as_a_conflict() {
     let cluster = TestCluster::new("race", 1).await;
     // Keeps the first change from the daemon until both are appended.
-    cluster.daemon_log.steer(&Steer { mute: Some(true), silence: true, ..Steer::default() });
+    cluster.daemon_log.update_faults(&FaultUpdate {
+        mute: Some(true),
+        silence: true,
+        ..FaultUpdate::default()
+    });
     let both_appended = async {
         while cluster.log.records("config").len() < 2 {
             tokio::time::sleep(std::time::Duration::from_millis(5)).await;
         }
-        cluster.daemon_log.steer(&Steer { mute: Some(false), ..Steer::default() });
+        cluster.daemon_log.update_faults(&FaultUpdate { mute: Some(false), ..FaultUpdate::default() });
     };
     let one = ["publish", "--class", "summary", "--first-token-ms", "8000", "--per-token-ms", "60"];
     let other = ["publish", "--class", "summary", "--first-token-ms", "5000", "--per-token-ms", "60"];
@@ -91,10 +95,10 @@
 #[tokio::test]
 async fn an_append_with_a_lost_answer_is_found_in_the_log() {
     let cluster = TestCluster::new("lost-answer", 1).await;
-    cluster.log.steer(&Steer {
+    cluster.log.update_faults(&FaultUpdate {
         lose_replies: Some(1),
         lose_path: "/log/config/append".to_owned(),
-        ..Steer::default()
+        ..FaultUpdate::default()
     });
     let published = cluster.run(&["publish", "--class", "booking", "--response-ms", "300"]).await;
     assert_eq!(published.code, 0, "{}", published.text);
@@ -107,7 +111,7 @@
 async fn nothing_is_published_while_the_log_is_down() {
     let cluster = TestCluster::new("outage", 1).await;
     cluster.run(&["publish", "--class", "booking", "--response-ms", "300"]).await;
-    cluster.log.steer(&Steer { outage: Some(true), ..Steer::default() });
+    cluster.log.update_faults(&FaultUpdate { outage: Some(true), ..FaultUpdate::default() });
     let refused = cluster.run(&["publish", "--class", "booking", "--response-ms", "200"]).await;
     assert_eq!(refused.code, 5, "{}", refused.text);
     assert!(refused.text.contains("nothing was published"), "{}", refused.text);
--- a/crates/router/tests/ops/platform.rs
+++ b/crates/router/tests/ops/platform.rs
@@ -8,7 +8,7 @@
 };
 use hibiscusvale_core::ids::Offset;
 use hibiscusvale_core::units::{BytesPerSecond, Millis};
-use hibiscusvale_standins::control::Steer;
+use hibiscusvale_standins::control::FaultUpdate;
 use hibiscusvale_standins::log::{LogHandle, LogService, LogSettings};
 use hibiscusvale_standins::weights::{self, WeightSettings};
 use tokio::net::TcpListener;
@@ -56,7 +56,7 @@
 #[tokio::test]
 async fn reported_outage_means_not_appended() {
     let (handle, client) = start_log().await;
-    handle.steer(&Steer { outage: Some(true), ..Steer::default() });
+    handle.update_faults(&FaultUpdate { outage: Some(true), ..FaultUpdate::default() });
     let failed = client.append(Stream::Config, records(&["a"])).await;
     assert!(matches!(failed, Err(AppendError::NotAppended { cause: LogFailure::Down, .. })), "{failed:?}");
     assert_eq!(client.read(Stream::Config, Offset(0), 1, Millis(0)).await, Err(LogFailure::Down));
@@ -68,7 +68,7 @@
 #[tokio::test]
 async fn lost_response_leaves_append_unknown() {
     let (handle, client) = start_log().await;
-    handle.steer(&Steer { lose_replies: Some(1), ..Steer::default() });
+    handle.update_faults(&FaultUpdate { lose_replies: Some(1), ..FaultUpdate::default() });
     let failed = client.append(Stream::Config, records(&["a"])).await;
     assert!(matches!(failed, Err(AppendError::Unknown { .. })), "{failed:?}");
     assert_eq!(handle.records("config").len(), 1, "the record was appended despite the error");
@@ -78,7 +78,7 @@
 #[tokio::test]
 async fn unresponsive_log_leaves_append_unknown() {
     let (handle, client) = start_log().await;
-    handle.steer(&Steer { mute: Some(true), ..Steer::default() });
+    handle.update_faults(&FaultUpdate { mute: Some(true), ..FaultUpdate::default() });
     let failed = client.append(Stream::Config, records(&["a"])).await;
     assert_eq!(failed, Err(AppendError::Unknown { cause: LogFailure::Timeout }));
 }
@@ -90,7 +90,7 @@
     let (handle, client) = start_log().await;
     client.append(Stream::Config, records(&["a"])).await.expect("appended");
     client.read(Stream::Config, Offset(0), 1, Millis(0)).await.expect("a page");
-    handle.steer(&Steer { silence: true, ..Steer::default() });
+    handle.update_faults(&FaultUpdate { silence: true, ..FaultUpdate::default() });
     let dead = client.read(Stream::Config, Offset(0), 1, Millis(0)).await;
     assert_eq!(dead, Err(LogFailure::Timeout));
     let page =
--- a/crates/standins/benches/claims.rs
+++ b/crates/standins/benches/claims.rs
@@ -1,7 +1,7 @@
-//! What a call that must run at most once costs against a plain one, over sockets with three daemons:
+//! Compares the cost of at-most-once calls and plain calls, over sockets with three daemons:
 //! `cargo bench -p hibiscusvale-standins --bench claims`.
-#![allow(clippy::pedantic, reason = "a bench over test helpers")]
-#![allow(dead_code, reason = "the tests use the rest of the helpers")]
+#![allow(clippy::pedantic, reason = "a benchmark over test helpers")]
+#![allow(dead_code, reason = "other helpers are used only by the tests")]
 
 #[path = "../tests/e2e/world.rs"]
 mod world;
@@ -19,12 +19,12 @@
     settings = {service = "booking", capacity = 256}
 "#;
 
-/// Calls one after another.
-const ALONE: usize = 200;
+/// Number of sequential calls.
+const SEQUENTIAL_CALLS: usize = 200;
 
-/// Calls in the burst, one each millisecond.
-const BURST: usize = 5_000;
-const GAP: Duration = Duration::from_millis(1);
+/// Number of calls in the burst, one per millisecond.
+const BURST_CALLS: usize = 5_000;
+const BURST_INTERVAL: Duration = Duration::from_millis(1);
 
 #[derive(Clone, Copy)]
 enum Kind {
@@ -37,9 +37,9 @@
         Kind::Plain => caller.request("GET", "/booking/list"),
         Kind::Keyed => caller.request("POST", "/booking/new").header("idempotency-key", key),
     };
-    let begun = Instant::now();
+    let started = Instant::now();
     let answer = caller.ask(request.body(Full::new(Bytes::from_static(b"{}"))).expect("request")).await;
-    (answer.outcome() == "answered", begun.elapsed().as_micros() as u64)
+    (answer.outcome() == "answered", started.elapsed().as_micros() as u64)
 }
 
 fn appends(world: &World) -> u64 {
@@ -47,10 +47,10 @@
     streams.iter().filter(|(stream, _)| stream.starts_with("claims")).map(|(_, count)| count).sum()
 }
 
-async fn alone(callers: &[Caller], kind: Kind) -> (Histogram<u64>, usize) {
+async fn run_sequential(callers: &[Caller], kind: Kind) -> (Histogram<u64>, usize) {
     let mut times = Histogram::new(3).expect("histogram");
     let mut answered = 0;
-    for number in 0..ALONE {
+    for number in 0..SEQUENTIAL_CALLS {
         let caller = callers[number % callers.len()].clone();
         let (whole, took_us) = call(caller, kind, format!("alone-{number}")).await;
         answered += usize::from(whole);
@@ -59,10 +59,10 @@
     (times, answered)
 }
 
-async fn burst(callers: &[Caller], kind: Kind) -> (Histogram<u64>, usize) {
-    let mut ticks = tokio::time::interval(GAP);
+async fn run_burst(callers: &[Caller], kind: Kind) -> (Histogram<u64>, usize) {
+    let mut ticks = tokio::time::interval(BURST_INTERVAL);
     let mut calls = Vec::new();
-    for number in 0..BURST {
+    for number in 0..BURST_CALLS {
         ticks.tick().await;
         let caller = callers[number % callers.len()].clone();
         calls.push(tokio::spawn(call(caller, kind, format!("burst-{number}"))));
@@ -94,14 +94,14 @@
     let third = world.daemon_beside("entry-3", &[&first, &second]).await;
     let callers: Vec<Caller> =
         [&first, &second, &third].iter().map(|daemon| Caller::new(daemon.callers_address())).collect();
-    alone(&callers, Kind::Plain).await;
+    run_sequential(&callers, Kind::Plain).await;
     for (name, kind) in [("plain", Kind::Plain), ("at most once", Kind::Keyed)] {
         let before = appends(&world);
-        let (times, answered) = alone(&callers, kind).await;
-        print(&format!("{name}, alone"), ALONE, answered, &times, appends(&world) - before);
+        let (times, answered) = run_sequential(&callers, kind).await;
+        print(&format!("{name}, alone"), SEQUENTIAL_CALLS, answered, &times, appends(&world) - before);
         let before = appends(&world);
-        let (times, answered) = burst(&callers, kind).await;
-        print(&format!("{name}, 1,000/s"), BURST, answered, &times, appends(&world) - before);
+        let (times, answered) = run_burst(&callers, kind).await;
+        print(&format!("{name}, 1,000/s"), BURST_CALLS, answered, &times, appends(&world) - before);
     }
     for daemon in [first, second, third] {
         stop(daemon).await;
--- a/crates/standins/src/client.rs
+++ b/crates/standins/src/client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client for calls between stand-ins and for steering them.
+//! Minimal HTTP client for calls between mock servers and for fault injection.
 
 use std::net::SocketAddr;
 
@@ -11,30 +11,30 @@
 use serde::de::DeserializeOwned;
 use tokio::net::TcpStream;
 
-/// A call that got no usable answer.
+/// Error of a call.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No connection.
+    /// The connection could not be established.
     #[error("could not connect: {0}")]
     Connect(#[source] std::io::Error),
-    /// The connection broke.
+    /// The connection failed during the call.
     #[error("could not complete the call: {0}")]
     Http(#[from] hyper::Error),
-    /// The answer is not the JSON expected.
-    #[error("could not understand the answer: {0}")]
+    /// The response body is not the expected JSON.
+    #[error("could not parse the response: {0}")]
     Json(#[from] serde_json::Error),
     /// The request could not be built.
     #[error("could not build the request: {0}")]
     Request(#[from] http::Error),
-    /// An answer other than success.
+    /// The status is not a success.
     #[error("refused with status {0}")]
     Refused(StatusCode),
 }
 
-/// Sends one request on a connection of its own; returns status and body.
+/// Sends one request on a new connection; returns status and body.
 ///
 /// # Errors
-/// The call got no answer.
+/// The connection failed before the response was complete.
 pub async fn call(
     address: SocketAddr,
     method: Method,
@@ -56,10 +56,10 @@
     Ok((status, bytes))
 }
 
-/// Posts JSON and reads JSON.
+/// Sends a POST request with a JSON body and parses the JSON response.
 ///
 /// # Errors
-/// No answer, a refusal, or an answer that does not fit.
+/// No response, an error status, or a response of another type.
 pub async fn post_json<Q, A>(address: SocketAddr, path: &str, body: &Q) -> Result<A, CallError>
 where
     Q: Serialize,
@@ -69,10 +69,10 @@
     parse(call(address, Method::POST, path, bytes).await?)
 }
 
-/// Gets JSON.
+/// Sends a GET request and parses the JSON response.
 ///
 /// # Errors
-/// No answer, a refusal, or an answer that does not fit.
+/// No response, an error status, or a response of another type.
 pub async fn get_json<A>(address: SocketAddr, path: &str) -> Result<A, CallError>
 where
     A: DeserializeOwned,
--- a/crates/standins/src/control.rs
+++ b/crates/standins/src/control.rs
@@ -1,4 +1,4 @@
-//! Failures that a stand-in can be steered into.
+//! Fault injection for the mock servers.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
@@ -9,44 +9,44 @@
 
 const PER_MILLE: u64 = 1_000;
 
-/// One steering order, the body of `POST /standin/steer`. Absent fields change nothing.
+/// Update of the injected faults; body of `POST /standin/update_faults`. Absent fields leave the fault unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Steer {
-    /// Accepts requests and never answers them.
+pub struct FaultUpdate {
+    /// Accepts requests and never responds.
     pub mute: Option<bool>,
-    /// Refuses new work as a leaving server does.
+    /// Rejects new work, as a draining server does.
     pub leaving: Option<bool>,
-    /// Answers that the service is down (log only).
+    /// Responds that the service is unavailable (log and host list only).
     pub outage: Option<bool>,
-    /// Multiplies every time that work takes.
+    /// Multiplies all processing times.
     pub slow_factor: Option<f64>,
-    /// Silences the connections that are open now for good; new ones work.
+    /// Stalls all currently open connections permanently without closing them; new connections work.
     pub silence: bool,
-    /// Carries out this many requests without answering: the connection is dropped instead.
+    /// Executes this many requests but closes the connection instead of responding.
     pub lose_replies: Option<u32>,
-    /// Restricts `lose_replies` to paths that start so.
+    /// Restricts `lose_replies` to paths with this prefix.
     pub lose_path: String,
-    /// Drops every connection and stops listening, as a killed process does.
+    /// Closes all connections and the listener, as a killed process does.
     pub die: bool,
 }
 
 #[derive(Debug, Default)]
-struct LostReplies {
+struct DroppedResponses {
     left: u32,
     path: String,
 }
 
-/// The present failures of one stand-in.
+/// Active faults of one mock server.
 #[derive(Debug)]
 pub struct Faults {
     mute: AtomicBool,
     leaving: AtomicBool,
     outage: AtomicBool,
     slow_per_mille: AtomicU64,
-    silenced_before: AtomicU64,
-    lost_replies: Mutex<LostReplies>,
-    dead: CancellationToken,
+    stall_generation: AtomicU64,
+    dropped_responses: Mutex<DroppedResponses>,
+    killed: CancellationToken,
 }
 
 impl Default for Faults {
@@ -56,16 +56,16 @@
             leaving: AtomicBool::new(false),
             outage: AtomicBool::new(false),
             slow_per_mille: AtomicU64::new(PER_MILLE),
-            silenced_before: AtomicU64::new(0),
-            lost_replies: Mutex::default(),
-            dead: CancellationToken::new(),
+            stall_generation: AtomicU64::new(0),
+            dropped_responses: Mutex::default(),
+            killed: CancellationToken::new(),
         }
     }
 }
 
 impl Faults {
-    /// Carries out a steering order.
-    pub fn steer(&self, order: &Steer) {
+    /// Applies an update.
+    pub fn update_faults(&self, order: &FaultUpdate) {
         if let Some(on) = order.mute {
             self.mute.store(on, Ordering::SeqCst);
         }
@@ -79,49 +79,49 @@
             self.slow_per_mille.store(per_mille(factor), Ordering::SeqCst);
         }
         if order.silence {
-            self.silenced_before.fetch_add(1, Ordering::SeqCst);
+            self.stall_generation.fetch_add(1, Ordering::SeqCst);
         }
         if let Some(count) = order.lose_replies {
-            *self.lost_replies.lock() = LostReplies { left: count, path: order.lose_path.clone() };
+            *self.dropped_responses.lock() = DroppedResponses { left: count, path: order.lose_path.clone() };
         }
         if order.die {
-            self.dead.cancel();
+            self.killed.cancel();
         }
     }
 
-    /// Whether requests are accepted and never answered.
+    /// Whether requests are accepted without a response.
     pub fn is_mute(&self) -> bool {
         self.mute.load(Ordering::SeqCst)
     }
 
-    /// Whether new work is refused.
+    /// Whether new work is rejected.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::SeqCst)
     }
 
-    /// Whether the service says that it is down.
-    pub fn is_outage(&self) -> bool {
+    /// Whether the service responds as unavailable.
+    pub fn is_unavailable(&self) -> bool {
         self.outage.load(Ordering::SeqCst)
     }
 
-    /// `time` as the present slowness stretches it.
+    /// Returns `time` scaled by the current slow factor.
     pub fn stretch(&self, time: Duration) -> Duration {
         let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
         let slow = self.slow_per_mille.load(Ordering::SeqCst);
         Duration::from_micros(micros.saturating_mul(slow) / PER_MILLE)
     }
 
-    /// Cancelled once the stand-in has died.
-    pub fn dead(&self) -> &CancellationToken {
-        &self.dead
+    /// Token that is cancelled when the server is killed.
+    pub fn killed(&self) -> &CancellationToken {
+        &self.killed
     }
 
-    pub(crate) fn generation(&self) -> u64 {
-        self.silenced_before.load(Ordering::SeqCst)
+    pub(crate) fn stall_generation(&self) -> u64 {
+        self.stall_generation.load(Ordering::SeqCst)
     }
 
-    pub(crate) fn takes_reply(&self, path: &str) -> bool {
-        let mut lost = self.lost_replies.lock();
+    pub(crate) fn should_drop_response(&self, path: &str) -> bool {
+        let mut lost = self.dropped_responses.lock();
         let takes = lost.left > 0 && path.starts_with(&lost.path);
         if takes {
             lost.left -= 1;
@@ -133,7 +133,7 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a slowness factor is a small positive number"
+    reason = "a slow factor is a small positive number"
 )]
 fn per_mille(factor: f64) -> u64 {
     (factor.max(0.0) * PER_MILLE as f64) as u64
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -1,5 +1,5 @@
-//! The stand-in for a model engine: batches, slots, a limited prefix cache, and results that are soon gone,
-//! in scaled real time.
+//! Mock inference engine with batched decoding, decode slots, a bounded prefix cache and eviction of prefill
+//! results, in scaled real time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -15,63 +15,63 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
 
-use crate::control::{Faults, Steer};
+use crate::control::{FaultUpdate, Faults};
 use crate::engine_cache::PrefixCache;
-use crate::engine_memory::{EngineCounters, Holding, Memory, Owner, RequestWork};
+use crate::engine_memory::{EngineCounters, HeldRequest, Memory, Owner, RequestWork};
 use crate::http::{Body, Handler, json, not_found, query_number, serve};
 
 mod orders;
 mod transfer;
 mod work;
 
-/// What an engine does.
+/// Role of an engine.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Reads prompts.
+    /// Runs prefills.
     #[default]
     Prefill,
-    /// Writes tokens.
+    /// Generates tokens.
     Decode,
 }
 
-/// How an engine is built.
+/// Configuration of an engine.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineSettings {
-    /// Where it listens; port 0 lets the kernel choose.
+    /// Listen address; port 0 selects a free port.
     pub address: SocketAddr,
-    /// What it does at first.
+    /// Initial role.
     pub role: Role,
-    /// Models that it has loaded at first.
+    /// Models loaded at start.
     pub models: Vec<String>,
-    /// Requests that it decodes at once.
+    /// Number of decode slots.
     pub slots: usize,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether orders with a fencing token lower than the last one are rejected.
     pub checks_fencing: bool,
-    /// Time to read one prompt token.
+    /// Prefill time per prompt token.
     pub prefill_us_per_token: u64,
-    /// Time of a decode step without any request in it.
+    /// Base duration of a decode step.
     pub decode_step_us: u64,
-    /// Time that each request adds to a decode step.
+    /// Additional duration of a decode step per request in the batch.
     pub decode_step_us_per_request: u64,
-    /// Size of the KV cache of one token.
+    /// KV cache size per token.
     pub kv_bytes_per_token: u64,
-    /// Memory for KV cache, as the load report states it.
+    /// KV cache capacity shown in the load report.
     pub kv_bytes_total: u64,
-    /// How long a prefill result is kept for export.
+    /// Retention of a prefill result that has not been exported.
     pub evict_after_ms: u64,
-    /// Rate of its link, shared by the transfers into it.
+    /// Link bandwidth, shared by all inbound transfers.
     pub link_bytes_per_s: u64,
-    /// Prefix blocks that it caches.
+    /// Capacity of the prefix cache in blocks.
     pub cache_blocks: usize,
-    /// Age that a load report may reach.
+    /// Maximum age of a load report.
     pub load_lag_ms: u64,
-    /// How late cache events become visible.
+    /// Delay until cache events become visible.
     pub cache_event_lag_ms: u64,
-    /// Every so many cache events one is missing; 0 for no gaps.
+    /// Drops every n-th cache event; 0 drops none.
     pub cache_gap_every: u64,
-    /// Where it loads weights from; without it, loading takes no time.
+    /// Address of the weight store; if absent, models load instantly.
     pub weights: Option<SocketAddr>,
 }
 
@@ -99,29 +99,29 @@
     }
 }
 
-/// The state that `GET /standin/state` shows.
+/// State returned by `GET /standin/state`.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct EngineState {
-    /// Requests that hold memory.
-    pub held: Vec<Holding>,
-    /// The account.
+    /// Requests that hold memory on the engine.
+    pub held: Vec<HeldRequest>,
+    /// Counters since the start.
     pub counters: EngineCounters,
-    /// Prefill work by request.
+    /// Prefill work by request id.
     pub work: BTreeMap<String, RequestWork>,
-    /// Orders carried out, with their fencing numbers, in order.
+    /// Applied orders, oldest first.
     pub orders: Vec<AppliedOrder>,
-    /// Models loaded.
+    /// Loaded models.
     pub models: BTreeSet<String>,
-    /// Whether the present role is decode.
+    /// Whether the current role is decode.
     pub decodes: bool,
 }
 
-/// An order that an engine carried out.
+/// An order that an engine applied.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct AppliedOrder {
-    /// Its id.
+    /// Id of the order.
     pub order_id: String,
-    /// Its fencing number.
+    /// Fencing token of the order.
     pub fencing: u64,
 }
 
@@ -136,7 +136,7 @@
     prefill_queue_tokens: u64,
     kv_bytes_used: u64,
     kv_bytes_total: u64,
-    held: Vec<Holding>,
+    held: Vec<HeldRequest>,
     #[serde(skip)]
     taken_at: Instant,
 }
@@ -149,7 +149,7 @@
     last_fencing: u64,
 }
 
-/// A stand-in engine.
+/// A mock engine.
 #[derive(Debug)]
 pub struct Engine {
     settings: EngineSettings,
@@ -161,32 +161,32 @@
     changes: watch::Sender<u64>,
 }
 
-/// A running engine, to inspect and steer.
+/// Handle of a running engine.
 #[derive(Clone, Debug)]
 pub struct EngineHandle {
-    /// Where it listens.
+    /// Bound address.
     pub address: SocketAddr,
     engine: Arc<Engine>,
 }
 
 impl EngineHandle {
-    /// What the engine holds and has done.
+    /// Returns a snapshot of the state.
     pub fn state(&self) -> EngineState {
         self.engine.state()
     }
 
-    /// Brings about a failure or ends it.
-    pub fn steer(&self, order: &Steer) {
-        self.engine.faults.steer(order);
+    /// Applies an update of the injected faults.
+    pub fn update_faults(&self, order: &FaultUpdate) {
+        self.engine.faults.update_faults(order);
     }
 
-    /// Waits until the engine holds nothing.
+    /// Waits until the engine holds no request.
     pub async fn wait_empty(&self) {
         let mut changes = self.engine.changes.subscribe();
-        while !self.engine.memory.lock().holdings().is_empty() && changes.changed().await.is_ok() {}
+        while !self.engine.memory.lock().held_requests().is_empty() && changes.changed().await.is_ok() {}
     }
 
-    /// Waits until `ready` holds for the engine's state, looking again at each change.
+    /// Waits until `ready` returns true; checked after each state change.
     pub async fn wait_until<F>(&self, ready: F)
     where
         F: Fn(&EngineState) -> bool,
@@ -234,12 +234,12 @@
         W: FnOnce(Arc<Self>) -> F,
         F: Future<Output = ()> + Send + 'static,
     {
-        let dead = self.faults.dead().clone();
+        let killed = self.faults.killed().clone();
         let work = work(Arc::clone(self));
-        tokio::spawn(async move { dead.run_until_cancelled(work).await });
+        tokio::spawn(async move { killed.run_until_cancelled(work).await });
     }
 
-    /// Changes the memory and tells all who wait for a change.
+    /// Applies `change` to the memory and notifies subscribers.
     fn change<R, F>(&self, change: F) -> R
     where
         F: FnOnce(&mut Memory) -> R,
@@ -253,7 +253,7 @@
         let memory = self.memory.lock();
         let orders = self.orders.lock();
         EngineState {
-            held: memory.holdings(),
+            held: memory.held_requests(),
             counters: memory.counters,
             work: memory.work().clone(),
             orders: orders.applied.clone(),
@@ -262,7 +262,7 @@
         }
     }
 
-    /// The last report, or a new one once that is older than its lag.
+    /// Returns the cached load report, refreshed once it is older than `load_lag_ms`.
     fn load(&self) -> LoadReport {
         let now = Instant::now();
         let lag = Duration::from_millis(self.settings.load_lag_ms);
@@ -289,7 +289,7 @@
             prefill_queue_tokens: memory.queued_tokens(),
             kv_bytes_used: memory.tokens_held() * self.settings.kv_bytes_per_token,
             kv_bytes_total: self.settings.kv_bytes_total,
-            held: memory.holdings(),
+            held: memory.held_requests(),
             taken_at: now,
         }
     }
@@ -341,9 +341,9 @@
     }
 }
 
-/// Who asks for what, in every call about one request.
+/// Body of calls that name a request and its owner.
 #[derive(Debug, Deserialize)]
-struct Named {
+struct RequestCall {
     request_id: String,
     owner: Owner,
 }
--- a/crates/standins/src/engine/orders.rs
+++ b/crates/standins/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to load and unload models and to change role.
+//! Orders that load or unload models or change the role.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -36,7 +36,7 @@
 }
 
 #[derive(Debug, Serialize)]
-struct OldFencing {
+struct StaleFencing {
     last_fencing: u64,
 }
 
@@ -55,7 +55,7 @@
         }
         if self.settings.checks_fencing && call.fencing < orders.last_fencing {
             let last_fencing = orders.last_fencing;
-            return json(StatusCode::CONFLICT, &OldFencing { last_fencing });
+            return json(StatusCode::CONFLICT, &StaleFencing { last_fencing });
         }
         orders.last_fencing = call.fencing;
         orders.applied.push(AppliedOrder { order_id: call.order_id, fencing: call.fencing });
--- a/crates/standins/src/engine/transfer.rs
+++ b/crates/standins/src/engine/transfer.rs
@@ -1,4 +1,4 @@
-//! Copying of KV cache from a prefill engine to a decode engine.
+//! Transfer of the KV cache from a prefill engine to a decode engine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -35,7 +35,7 @@
     transfer_ms: u64,
 }
 
-/// One engine asks another for a result, or says that it has it.
+/// Body of an export request, and of the confirmation that the import is complete.
 #[derive(Debug, Deserialize, Serialize)]
 struct ExportCall {
     request_id: String,
@@ -46,7 +46,7 @@
     released: bool,
 }
 
-/// The engine that holds the result let it go before it was here.
+/// The source engine dropped the result before the transfer completed.
 #[derive(Clone, Copy, Debug)]
 struct SourceGone;
 
@@ -66,16 +66,16 @@
         match start {
             ImportStart::NoSlot => return Refusal::NoSlot(true).response(),
             ImportStart::Done | ImportStart::Wait => {}
-            // The copy goes on when the caller's connection breaks, as in a real engine.
-            ImportStart::Begin => self.spawn(|engine| async move { engine.copy_or_abandon(&call).await }),
+            // As in a real engine, the transfer continues if the caller disconnects.
+            ImportStart::Begin => self.spawn(|engine| async move { engine.copy_or_abort(&call).await }),
         }
         self.wait_imported(&id).await;
         self.import_answer(&id, started)
     }
 
-    async fn copy_or_abandon(&self, call: &ImportCall) {
+    async fn copy_or_abort(&self, call: &ImportCall) {
         if self.copy(call).await.is_err() {
-            self.change(|memory| memory.abandon_import(&call.request_id));
+            self.change(|memory| memory.abort_import(&call.request_id));
         }
     }
 
@@ -117,11 +117,12 @@
         Ok(())
     }
 
-    /// The link's rate is shared by the transfers that run; a caller may ask for less.
-    fn transfer_time(&self, kv_bytes: u64, asked: Option<u64>) -> Duration {
-        let sharing = (*self.transfers.lock()).max(1) as u64;
-        let share = (self.settings.link_bytes_per_s / sharing).max(1);
-        let rate = asked.filter(|&asked| asked > 0).map_or(share, |asked| asked.min(share));
+    /// Concurrent transfers share the link bandwidth equally; a caller may request a lower rate.
+    fn transfer_time(&self, kv_bytes: u64, requested: Option<u64>) -> Duration {
+        let transfers = (*self.transfers.lock()).max(1) as u64;
+        let share = (self.settings.link_bytes_per_s / transfers).max(1);
+        let rate =
+            requested.filter(|&requested| requested > 0).map_or(share, |requested| requested.min(share));
         Duration::from_micros(kv_bytes.saturating_mul(MICROS_PER_SECOND) / rate)
     }
 
--- a/crates/standins/src/engine/work.rs
+++ b/crates/standins/src/engine/work.rs
@@ -1,4 +1,4 @@
-//! Prefill, decode and cancel.
+//! Prefill, decode and cancel calls.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -12,8 +12,8 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::{Instant, sleep};
 
-use super::{Engine, Named, Role};
-use crate::engine_memory::{Next, Owner, Prompt, Stage};
+use super::{Engine, RequestCall, Role};
+use crate::engine_memory::{NextTokens, Owner, Prompt, Stage};
 use crate::http::{Body, bad_request, json, read_json};
 
 #[derive(Debug, Deserialize)]
@@ -66,7 +66,7 @@
     released: T,
 }
 
-/// Why a call was refused, as JSON.
+/// Reason for a rejected call, serialized as JSON.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum Refusal {
@@ -91,7 +91,7 @@
 }
 
 impl Engine {
-    /// Whether new work for `model` in `role` is taken.
+    /// Checks whether new work for `model` in `role` is accepted.
     pub(super) fn admit(&self, model: &str, role: Role) -> Result<(), Refusal> {
         if self.faults.is_leaving() {
             return Err(Refusal::Leaving(true));
@@ -145,7 +145,7 @@
         Some(json(StatusCode::OK, &answer))
     }
 
-    /// Reads one prompt after the other.
+    /// Runs queued prefills one at a time.
     pub(super) async fn run_prefills(&self) {
         let mut changes = self.changes.subscribe();
         loop {
@@ -177,12 +177,12 @@
             () = cancelled => {
                 let part = started.elapsed().as_micros() * u128::from(tokens) / work.as_micros().max(1);
                 let part = u64::try_from(part).unwrap_or(tokens).min(tokens);
-                self.change(|memory| memory.abandon_prefill(id, part));
+                self.change(|memory| memory.abort_prefill(id, part));
             }
         }
     }
 
-    /// Steps through the batch as long as anything is in it; a larger batch steps more slowly.
+    /// Runs decode steps while the batch is not empty; the step time grows with the batch size.
     pub(super) async fn run_decode(&self) {
         let mut changes = self.changes.subscribe();
         loop {
@@ -223,7 +223,7 @@
     }
 
     pub(super) async fn cancel(&self, request: Request<Incoming>) -> Response<Body> {
-        match read_json::<Named>(request).await {
+        match read_json::<RequestCall>(request).await {
             Ok(call) => {
                 let released = self.change(|memory| memory.cancel(&call.request_id, &call.owner));
                 json(StatusCode::OK, &Released { released })
@@ -245,7 +245,7 @@
     }
 }
 
-/// Where a stream of tokens stands.
+/// Read position in a token stream.
 struct Position {
     engine: Arc<Engine>,
     id: String,
@@ -263,9 +263,9 @@
         loop {
             let next = self.engine.memory.lock().next_tokens(&self.id, self.reader, self.index);
             match next {
-                Next::Tokens { texts, done } => return Some((self.lines(&texts, done), self)),
-                Next::TakenOver | Next::Gone => return None,
-                Next::Wait => {}
+                NextTokens::Tokens { texts, done } => return Some((self.lines(&texts, done), self)),
+                NextTokens::TakenOver | NextTokens::Gone => return None,
+                NextTokens::Wait => {}
             }
             if changes.changed().await.is_err() {
                 return None;
--- a/crates/standins/src/engine_cache.rs
+++ b/crates/standins/src/engine_cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache of an engine and its events, which come late and with gaps.
+//! LRU prefix cache of an engine and its event feed, which lags and has gaps.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -6,8 +6,8 @@
 use serde::Serialize;
 use tokio::time::Instant;
 
-/// Events kept for readers.
-const KEPT_EVENTS: usize = 10_000;
+/// Maximum number of retained events.
+const MAX_EVENTS: usize = 10_000;
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
@@ -31,7 +31,7 @@
     next_seq: u64,
 }
 
-/// Blocks by last use; the oldest goes first.
+/// LRU cache of prefix blocks.
 #[derive(Debug)]
 pub(crate) struct PrefixCache {
     capacity_blocks: usize,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// How many of the leading `blocks` are cached; they count as used.
+    /// Returns how many leading `blocks` are cached and marks them as used.
     pub(crate) fn hit(&mut self, blocks: &[String]) -> usize {
         self.uses += 1;
         let uses = self.uses;
@@ -99,12 +99,12 @@
             return;
         }
         self.events.push_back(CacheEvent { seq, kind, block, visible_at: now + self.event_lag });
-        if self.events.len() > KEPT_EVENTS {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
 
-    /// Events after `after` that have become visible by `now`.
+    /// Returns events after sequence number `after` that are visible at `now`.
     pub(crate) fn events(&self, after: u64, now: Instant) -> CacheEventPage {
         let visible = self.events.iter().filter(|event| event.visible_at <= now);
         let events: Vec<_> = visible.filter(|event| event.seq > after).cloned().collect();
--- a/crates/standins/src/engine_memory.rs
+++ b/crates/standins/src/engine_memory.rs
@@ -1,4 +1,4 @@
-//! What an engine holds for whom, and its account of work done, thrown away and done again.
+//! Requests held by an engine, and counters of completed, wasted and repeated work.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -6,14 +6,14 @@
 use tokio::time::Instant;
 
 use crate::engine_cache::PrefixCache;
-pub use crate::engine_types::{EngineCounters, Holding, Owner, ReportedStage, RequestWork};
-pub(crate) use crate::engine_types::{ImportStart, Next, Prompt, Stage};
-use crate::text::{BLOCK_BYTES, TOKEN_BYTES, Writer, prefix_blocks, token_count};
+pub use crate::engine_types::{EngineCounters, HeldRequest, Owner, ReportedStage, RequestWork};
+pub(crate) use crate::engine_types::{ImportStart, NextTokens, Prompt, Stage};
+use crate::text::{BLOCK_BYTES, TOKEN_BYTES, TokenGenerator, prefix_blocks, token_count};
 
-/// Finished answers that can still be read again.
-const KEPT_FINISHED: usize = 1_000;
+/// Maximum number of finished answers that remain readable.
+const MAX_FINISHED_ANSWERS: usize = 1_000;
 
-/// How long a result on its way to another engine is kept if that engine never says that it has it.
+/// Retention of a result being exported if the importing engine never confirms.
 const EXPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Debug)]
@@ -29,10 +29,10 @@
     pub(crate) max_tokens: u64,
     pub(crate) reader: u64,
     text: String,
-    writer: Option<Writer>,
+    generator: Option<TokenGenerator>,
 }
 
-/// An answer whose slot is free again and whose text can still be read.
+/// A completed answer whose slot is released and whose text is still readable.
 #[derive(Debug)]
 struct Finished {
     owner: Owner,
@@ -69,13 +69,13 @@
         self.held.get(id)
     }
 
-    pub(crate) fn holdings(&self) -> Vec<Holding> {
-        let holdings = self.held.iter().map(|(id, held)| Holding {
+    pub(crate) fn held_requests(&self) -> Vec<HeldRequest> {
+        let held_requests = self.held.iter().map(|(id, held)| HeldRequest {
             request_id: id.clone(),
             owner: held.owner.clone(),
             stage: held.stage.reported(),
         });
-        holdings.collect()
+        held_requests.collect()
     }
 
     pub(crate) fn work(&self) -> &BTreeMap<String, RequestWork> {
@@ -120,19 +120,20 @@
                 max_tokens: 0,
                 reader: 0,
                 text: String::new(),
-                writer: None,
+                generator: None,
             },
         );
     }
 
-    /// Queues a prefill unless the request is held already.
+    /// Queues a prefill unless the request is already held.
     pub(crate) fn queue_prefill(&mut self, id: &str, owner: Owner, prompt: Prompt, priority: i64) {
         if !self.held.contains_key(id) {
             self.insert(id, owner, prompt, priority, Stage::Queued);
         }
     }
 
-    /// The queued prefill with the lowest priority number, the oldest among equals; looks its prefix up.
+    /// Starts the queued prefill with the lowest priority number, oldest first, and looks up its cached prefix.
+    /// Returns the request id and the number of tokens to prefill.
     pub(crate) fn start_prefill(&mut self) -> Option<(String, u64)> {
         let queued = self.held.iter_mut().filter(|(_, held)| held.stage == Stage::Queued);
         let (id, held) = queued.min_by_key(|(_, held)| (held.priority, held.arrival))?;
@@ -160,14 +161,14 @@
         work.work_tokens += tokens;
     }
 
-    /// Tokens read in the part of a prefill that was done before its request was cancelled.
-    pub(crate) fn abandon_prefill(&mut self, id: &str, tokens: u64) {
+    /// Records the tokens prefilled before the request was cancelled.
+    pub(crate) fn abort_prefill(&mut self, id: &str, tokens: u64) {
         self.work.entry(id.to_owned()).or_default().work_tokens += tokens;
         self.counters.prefill_tokens += tokens;
         self.counters.cancelled_tokens += tokens;
     }
 
-    /// Throws away results that nobody imported in time; returns when the next one is due.
+    /// Evicts results that were not imported in time; returns the next eviction time.
     pub(crate) fn evict_due(&mut self, now: Instant) -> Option<Instant> {
         let due = self.held.iter().filter(|(_, held)| held.evict_at.is_some_and(|at| at <= now));
         let due: Vec<_> = due.map(|(id, _)| id.clone()).collect();
@@ -190,7 +191,7 @@
         Some(held.prompt.clone())
     }
 
-    /// Forgets a result that the other engine has; false if it was gone.
+    /// Drops a result after the other engine confirmed the import; false if it was no longer held.
     pub(crate) fn finish_export(&mut self, id: &str) -> bool {
         let exporting = self.held.get(id).filter(|held| held.stage == Stage::Exporting);
         let Some(held) = exporting else {
@@ -217,7 +218,7 @@
         ImportStart::Begin
     }
 
-    /// Gives an importing request its prompt; false if it was cancelled meanwhile.
+    /// Completes an import with the prompt; false if the request was cancelled meanwhile.
     pub(crate) fn finish_import(&mut self, id: &str, prompt: Prompt) -> bool {
         let Some(held) = self.held.get_mut(id) else {
             return false;
@@ -228,7 +229,7 @@
         true
     }
 
-    pub(crate) fn abandon_import(&mut self, id: &str) {
+    pub(crate) fn abort_import(&mut self, id: &str) {
         let importing = self.held.get(id).is_some_and(|held| held.stage == Stage::Importing);
         if importing {
             self.held.remove(id);
@@ -236,7 +237,7 @@
         self.counters.gone_imports += 1;
     }
 
-    /// Makes the caller the one reader of the request's tokens; returns the reader's number.
+    /// Makes the caller the only reader of the request's tokens; returns its reader number.
     pub(crate) fn start_stream(&mut self, id: &str, owner: &Owner, max_tokens: u64) -> Option<u64> {
         if let Some(finished) = self.finished.get_mut(id).filter(|finished| finished.owner == *owner) {
             finished.reader += 1;
@@ -250,7 +251,7 @@
         if held.stage == Stage::Imported {
             held.stage = Stage::Decoding;
             held.max_tokens = max_tokens;
-            held.writer = Some(Writer::new(&held.prompt.text()));
+            held.generator = Some(TokenGenerator::new(&held.prompt.text()));
             held.text.clone_from(&held.prompt.generated);
         } else {
             self.counters.resumes += 1;
@@ -264,17 +265,17 @@
         decoding.count()
     }
 
-    /// Every decoding request writes one token; those at their last one give their slot back.
+    /// Generates one token per decoding request; completed requests release their slot.
     pub(crate) fn decode_step(&mut self) {
         let mut ended = Vec::new();
         for (id, held) in &mut self.held {
             if held.stage != Stage::Decoding {
                 continue;
             }
-            if let Some(writer) = &mut held.writer
+            if let Some(generator) = &mut held.generator
                 && token_count(&held.text) < held.max_tokens
             {
-                held.text.push_str(&writer.next_token());
+                held.text.push_str(&generator.next_token());
                 self.counters.decoded_tokens += 1;
             }
             if token_count(&held.text) >= held.max_tokens {
@@ -294,37 +295,37 @@
             id,
             Finished { owner: held.owner, text: held.text, reader: held.reader, arrival: held.arrival },
         );
-        if self.finished.len() > KEPT_FINISHED {
+        if self.finished.len() > MAX_FINISHED_ANSWERS {
             let oldest = self.finished.iter().min_by_key(|(_, finished)| finished.arrival);
             let oldest = oldest.map(|(id, _)| id.clone());
             oldest.and_then(|id| self.finished.remove(&id));
         }
     }
 
-    pub(crate) fn next_tokens(&self, id: &str, reader: u64, index: u64) -> Next {
+    pub(crate) fn next_tokens(&self, id: &str, reader: u64, index: u64) -> NextTokens {
         if let Some(finished) = self.finished.get(id) {
             if finished.reader != reader {
-                return Next::TakenOver;
+                return NextTokens::TakenOver;
             }
-            return Next::Tokens {
+            return NextTokens::Tokens {
                 texts: tokens_from(&finished.text, index),
                 done: Some(token_count(&finished.text)),
             };
         }
         let Some(held) = self.held.get(id) else {
-            return Next::Gone;
+            return NextTokens::Gone;
         };
         if held.reader != reader {
-            return Next::TakenOver;
+            return NextTokens::TakenOver;
         }
         let texts = tokens_from(&held.text, index);
         if texts.is_empty() {
-            return Next::Wait;
+            return NextTokens::Wait;
         }
-        Next::Tokens { texts, done: None }
+        NextTokens::Tokens { texts, done: None }
     }
 
-    /// Releases what is held for a request; false if nothing was, or for another owner.
+    /// Releases a held request; false if it is not held or belongs to another owner.
     pub(crate) fn cancel(&mut self, id: &str, owner: &Owner) -> bool {
         if self.held.get(id).is_none_or(|held| held.owner != *owner) {
             return false;
--- a/crates/standins/src/engine_types.rs
+++ b/crates/standins/src/engine_types.rs
@@ -1,53 +1,53 @@
-//! What an engine holds, says and counts, as data.
+//! Data types of the mock engine: request stages, reports and counters.
 
 use serde::{Deserialize, Serialize};
 
 use crate::text::token_count;
 
-/// The daemon's life that a request belongs to.
+/// The daemon process that owns a request.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct Owner {
     /// The daemon's host.
     pub host: String,
-    /// Its incarnation, hex text.
+    /// Incarnation of the daemon, in hexadecimal.
     pub incarnation: String,
 }
 
-/// How far a held request is, as reports tell it.
+/// Stage of a held request, as load reports show it.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ReportedStage {
-    /// Its prompt is read or waits for that.
+    /// Prefill is queued or running.
     Prefill,
-    /// Its KV cache waits for export.
+    /// KV cache is ready for export.
     Exported,
-    /// Its KV cache is being copied.
+    /// KV cache is being copied.
     Transfer,
-    /// It has a slot and its KV cache.
+    /// Holds a decode slot and the KV cache.
     Decode,
 }
 
-/// How far a held request is.
+/// Internal stage of a held request.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub(crate) enum Stage {
-    /// Waits for its prefill.
+    /// Waiting for prefill.
     Queued,
-    /// Its prompt is being read.
+    /// Prefill is running.
     Prefilling,
-    /// Its KV cache waits to be imported elsewhere, and is evicted soon.
+    /// KV cache is ready for export and is evicted after the retention period.
     Prefilled,
-    /// Its KV cache is being copied to another engine.
+    /// KV cache is being copied to another engine.
     Exporting,
-    /// It has a slot and its KV cache is being copied in.
+    /// Holds a decode slot while the KV cache is copied in.
     Importing,
-    /// It has a slot and its KV cache.
+    /// Holds a decode slot and the KV cache; decoding has not started.
     Imported,
-    /// It has a slot and writes tokens.
+    /// Holds a decode slot and generates tokens.
     Decoding,
 }
 
 impl Stage {
-    /// Whether a request in this stage takes a decode slot.
+    /// Whether a request in this stage occupies a decode slot.
     pub(crate) fn has_slot(self) -> bool {
         matches!(self, Self::Importing | Self::Imported | Self::Decoding)
     }
@@ -62,63 +62,63 @@
     }
 }
 
-/// A held request as reports show it.
+/// A held request, as load reports show it.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct Holding {
-    /// The request.
+pub struct HeldRequest {
+    /// Id of the request.
     pub request_id: String,
-    /// For whom.
+    /// The daemon process that owns it.
     pub owner: Owner,
-    /// How far it is.
+    /// Current stage.
     pub stage: ReportedStage,
 }
 
-/// An engine's account, in tokens and counts since its start.
+/// Counters of an engine since its start.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct EngineCounters {
-    /// Prompt tokens read (not found in the prefix cache).
+    /// Prompt tokens prefilled (prefix cache misses).
     pub prefill_tokens: u64,
-    /// Prompt tokens found in the prefix cache.
+    /// Prompt tokens served from the prefix cache.
     pub cached_tokens: u64,
-    /// Prefilled tokens evicted before they were imported.
+    /// Prefilled tokens evicted before import.
     pub evicted_tokens: u64,
-    /// Prefilled tokens cancelled before they were imported, or in the middle of their prefill.
+    /// Prefilled tokens cancelled before import or during prefill.
     pub cancelled_tokens: u64,
-    /// Imported tokens released before any token was written from them.
+    /// Imported tokens released before decoding started.
     pub unused_tokens: u64,
-    /// Prompt tokens read again for a request that this engine had prefilled before.
+    /// Prompt tokens prefilled again for a request that this engine had already prefilled.
     pub redone_tokens: u64,
-    /// Tokens written.
+    /// Tokens generated.
     pub decoded_tokens: u64,
-    /// Tokens written for requests released before their last token was read.
+    /// Tokens generated for requests that were cancelled while decoding.
     pub unread_tokens: u64,
-    /// Imports refused because no slot was free: each would have over-committed the engine.
+    /// Imports rejected because no decode slot was free; each would have over-committed the engine.
     pub slot_refusals: u64,
-    /// Imports whose source no longer held the result.
+    /// Imports that failed because the source no longer held the result.
     pub gone_imports: u64,
-    /// Most slots ever taken at once.
+    /// Maximum number of slots in use at once.
     pub most_slots_used: u64,
     /// Streams taken over by a newer connection.
     pub resumes: u64,
 }
 
-/// Prefill work done for one request.
+/// Prefill work for one request.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct RequestWork {
-    /// Prompt tokens read for it over all times, cached ones left out.
+    /// Prompt tokens prefilled over all attempts, without cache hits.
     pub work_tokens: u64,
-    /// The part of it in the last result that another engine imported.
+    /// Prefilled tokens of the last result that another engine imported, without cache hits.
     pub exported_tokens: u64,
-    /// Times it was prefilled whole.
+    /// Number of completed prefills.
     pub prefills: u64,
 }
 
-/// What an engine reads before it writes.
+/// Input of a request.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub(crate) struct Prompt {
     /// The caller's prompt.
     pub(crate) prompt: String,
-    /// What an earlier try wrote behind it; it counts as the first tokens of the answer.
+    /// Tokens generated by an earlier attempt; they count as the first tokens of the answer.
     #[serde(default)]
     pub(crate) generated: String,
 }
@@ -133,9 +133,9 @@
     }
 }
 
-/// What a stream may send next.
+/// Result of polling a token stream.
 #[derive(Debug, Eq, PartialEq)]
-pub(crate) enum Next {
+pub(crate) enum NextTokens {
     Tokens { texts: Vec<String>, done: Option<u64> },
     Wait,
     TakenOver,
--- a/crates/standins/src/hosts.rs
+++ b/crates/standins/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The stand-in for the platform's lagging list of hosts.
+//! Mock of the platform's host list, which lags behind changes.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -14,11 +14,11 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until, timeout};
 
-use crate::control::{Faults, Steer};
+use crate::control::{FaultUpdate, Faults};
 use crate::engine::Role;
 use crate::http::{Body, Handler, bad_request, json, not_found, query_number, read_json, serve};
 
-/// What runs on a host.
+/// Kind of server on a host.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
@@ -30,78 +30,78 @@
     Plain,
 }
 
-/// Whether a host is to get new work.
+/// Whether a host accepts new work.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum ListedState {
-    /// It takes work.
+pub enum HostState {
+    /// Accepts new work.
     #[default]
     Live,
-    /// It finishes what it has.
+    /// Drains: finishes current work only.
     Leaving,
 }
 
-/// One entry of the list, as `docs/INTERFACES.md` states it.
+/// An entry of the host list, as specified in `docs/INTERFACES.md`.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct HostEntry {
-    /// Its name.
+    /// Name of the host.
     pub id: String,
-    /// What runs there.
+    /// Kind of server.
     pub kind: Kind,
-    /// Where it takes requests.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Where an entry host takes messages of others.
+    /// Address for messages between daemons; entry hosts only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub peer_address: Option<SocketAddr>,
     /// Its data centre.
     pub data_centre: String,
     /// Its region.
     pub region: String,
-    /// Who brings it.
+    /// Partner that owns the host.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub partner: Option<String>,
-    /// Whether it takes work.
+    /// Whether the host accepts new work.
     #[serde(default)]
-    pub state: ListedState,
-    /// The service of a plain instance.
+    pub state: HostState,
+    /// Service name; plain instances only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub service: Option<String>,
-    /// Models of an engine.
+    /// Loaded models; engines only.
     #[serde(default)]
     pub models: Vec<String>,
-    /// Role of an engine.
+    /// Role; engines only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub role: Option<Role>,
-    /// Slots of an engine, or calls at once of a plain instance.
+    /// Decode slots of an engine, or concurrent calls of a plain instance.
     #[serde(default)]
     pub slots_total: u64,
-    /// Whether an engine refuses old fencing numbers.
+    /// Whether an engine rejects stale fencing tokens.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// Rate of an engine's link.
+    /// Link bandwidth of an engine.
     #[serde(default)]
     pub link_bytes_per_s: u64,
 }
 
-/// A change of the list, the body of `POST /standin/hosts`.
+/// Update of the host list; body of `POST /standin/hosts`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct HostChange {
     /// Entries to add or replace.
     pub set: Vec<HostEntry>,
-    /// Names to take out.
+    /// Names of the hosts to remove.
     pub remove: Vec<String>,
 }
 
-/// How a host list is built.
+/// Configuration of a host list.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct HostListSettings {
-    /// Where it listens; port 0 lets the kernel choose.
+    /// Listen address; port 0 selects a free port.
     pub address: SocketAddr,
-    /// How late changes become visible.
+    /// Delay until changes become visible.
     pub lag_ms: u64,
-    /// What it lists at first.
+    /// Initial entries.
     pub entries: Vec<HostEntry>,
 }
 
@@ -119,59 +119,58 @@
     change: HostChange,
 }
 
-/// Changes that are remembered; a reader further behind gets the whole list.
-const KEPT_CHANGES: usize = 256;
+/// Maximum number of retained changes; a reader further behind gets the full list.
+const MAX_CHANGES: usize = 256;
 
-/// The list and what changed of late.
+/// Current entries and recent changes.
 #[derive(Debug, Default)]
-struct Listed {
+struct HostTable {
     entries: BTreeMap<String, HostEntry>,
     changes: VecDeque<(u64, HostChange)>,
 }
 
-impl Listed {
-    /// What a reader that knows the list at `after` lacks, one change after the other; `None` if it is too far
-    /// behind.
+impl HostTable {
+    /// Merges the changes since version `after`; `None` if they are no longer retained.
     fn since(&self, after: u64, version: u64) -> Option<HostChange> {
         let behind = usize::try_from(version.checked_sub(after)?).ok()?;
         let first = self.changes.len().checked_sub(behind)?;
-        let mut whole = HostChange::default();
+        let mut merged = HostChange::default();
         for (_, change) in self.changes.iter().skip(first) {
-            whole.set.retain(|entry| !change.remove.contains(&entry.id));
-            whole.remove.retain(|id| !change.set.iter().any(|entry| entry.id == *id));
-            whole.set.extend(change.set.iter().cloned());
-            whole.remove.extend(change.remove.iter().cloned());
+            merged.set.retain(|entry| !change.remove.contains(&entry.id));
+            merged.remove.retain(|id| !change.set.iter().any(|entry| entry.id == *id));
+            merged.set.extend(change.set.iter().cloned());
+            merged.remove.extend(change.remove.iter().cloned());
         }
-        Some(whole)
+        Some(merged)
     }
 }
 
-/// A stand-in host list.
+/// A mock host list.
 #[derive(Debug)]
 pub struct HostList {
     settings: HostListSettings,
     faults: Arc<Faults>,
-    listed: Mutex<Listed>,
+    table: Mutex<HostTable>,
     version: watch::Sender<u64>,
 }
 
-/// A running host list, to change and steer.
+/// Handle of a running host list.
 #[derive(Clone, Debug)]
 pub struct HostListHandle {
-    /// Where it listens.
+    /// Bound address.
     pub address: SocketAddr,
     list: Arc<HostList>,
 }
 
 impl HostListHandle {
-    /// Changes the list; readers see it after the lag.
+    /// Updates the list; readers see the change after `lag_ms`.
     pub fn change(&self, change: HostChange) {
-        self.list.change_late(change);
+        self.list.apply_after_lag(change);
     }
 
-    /// Brings about a failure or ends it.
-    pub fn steer(&self, order: &Steer) {
-        self.list.faults.steer(order);
+    /// Applies an update of the injected faults.
+    pub fn update_faults(&self, order: &FaultUpdate) {
+        self.list.faults.update_faults(order);
     }
 }
 
@@ -183,7 +182,7 @@
     pub async fn start(settings: HostListSettings) -> io::Result<HostListHandle> {
         let entries = settings.entries.iter().map(|entry| (entry.id.clone(), entry.clone()));
         let list = Arc::new(Self {
-            listed: Mutex::new(Listed { entries: entries.collect(), ..Listed::default() }),
+            table: Mutex::new(HostTable { entries: entries.collect(), ..HostTable::default() }),
             faults: Arc::default(),
             version: watch::Sender::new(1),
             settings,
@@ -193,39 +192,39 @@
         Ok(HostListHandle { address, list })
     }
 
-    fn change_late(self: &Arc<Self>, change: HostChange) {
+    fn apply_after_lag(self: &Arc<Self>, change: HostChange) {
         let visible_at = Instant::now() + Duration::from_millis(self.settings.lag_ms);
         let list = Arc::clone(self);
         tokio::spawn(async move {
             sleep_until(visible_at).await;
-            let mut listed = list.listed.lock();
+            let mut table = list.table.lock();
             for id in &change.remove {
-                listed.entries.remove(id);
+                table.entries.remove(id);
             }
-            listed.entries.extend(change.set.iter().map(|entry| (entry.id.clone(), entry.clone())));
+            table.entries.extend(change.set.iter().map(|entry| (entry.id.clone(), entry.clone())));
             list.version.send_modify(|version| *version += 1);
-            listed.changes.push_back((*list.version.borrow(), change));
-            if listed.changes.len() > KEPT_CHANGES {
-                listed.changes.pop_front();
+            table.changes.push_back((*list.version.borrow(), change));
+            if table.changes.len() > MAX_CHANGES {
+                table.changes.pop_front();
             }
         });
     }
 
     async fn read(&self, request: &Request<Incoming>) -> Response<Body> {
-        if self.faults.is_outage() {
+        if self.faults.is_unavailable() {
             return json(StatusCode::SERVICE_UNAVAILABLE, &());
         }
         let after = query_number(request, "after").unwrap_or_default();
         let wait = Duration::from_millis(query_number(request, "wait_ms").unwrap_or_default());
         let mut version = self.version.subscribe();
-        // Running out of time is an answer too: nothing changed.
+        // After the timeout the current version is returned, without changes.
         let _ = timeout(wait, version.wait_for(|version| *version != after)).await;
-        let listed = self.listed.lock();
+        let table = self.table.lock();
         let version = *self.version.borrow();
-        let page = match listed.since(after, version).filter(|_| after > 0) {
+        let page = match table.since(after, version).filter(|_| after > 0) {
             Some(change) => Page { version, change, ..Page::default() },
             None => {
-                Page { version, entries: Some(listed.entries.values().cloned().collect()), ..Page::default() }
+                Page { version, entries: Some(table.entries.values().cloned().collect()), ..Page::default() }
             }
         };
         json(StatusCode::OK, &page)
@@ -239,7 +238,7 @@
                 "/hosts" => self.read(&request).await,
                 "/standin/hosts" => match read_json::<HostChange>(request).await {
                     Ok(change) => {
-                        self.change_late(change.clone());
+                        self.apply_after_lag(change.clone());
                         json(StatusCode::OK, &change)
                     }
                     Err(error) => bad_request(&error),
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP server that all stand-ins share, with the failures of `Faults` in its connections.
+//! HTTP server shared by all mock servers; applies the injected `Faults` to connections.
 
 use std::convert::Infallible;
 use std::io;
@@ -22,37 +22,37 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::control::{Faults, Steer};
+use crate::control::{FaultUpdate, Faults};
 
-/// Largest request body that a stand-in reads.
+/// Maximum request body size.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// Body of an answer.
+/// Response body.
 pub type Body = UnsyncBoxBody<Bytes, Infallible>;
 
-/// What a stand-in does with a request.
+/// Request handler of a mock server.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request; `/standin/steer` and the failures are dealt with before.
+    /// Handles one request; `/standin/handle_fault_update` and injected faults are handled by the server.
     fn handle(self: Arc<Self>, request: Request<Incoming>) -> BoxFuture<'static, Response<Body>>;
 }
 
-/// A request that a stand-in could not read.
+/// Error while reading a request.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// The body did not arrive whole.
+    /// The body is incomplete or too large.
     #[error("could not read the request body")]
     Body,
-    /// The body is not the JSON that the interface states.
-    #[error("could not understand the request body: {0}")]
+    /// The body is not JSON of the expected type.
+    #[error("could not parse the request body: {0}")]
     Json(#[from] serde_json::Error),
 }
 
-/// The reply of this request is lost: the connection is dropped after the action.
+/// Aborts the connection instead of sending the response of an executed request.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
-#[error("reply lost by order")]
-struct ReplyLost;
+#[error("response dropped by fault injection")]
+struct ResponseDropped;
 
-/// Binds `address` and serves `handler` there until `faults` say that it died; returns the bound address.
+/// Binds `address` and serves `handler` until `faults` signal that the server is killed; returns the bound address.
 ///
 /// # Errors
 /// The address cannot be bound.
@@ -63,8 +63,8 @@
     let listener = TcpListener::bind(address).await?;
     let bound = listener.local_addr()?;
     tokio::spawn(async move {
-        let dead = faults.dead().clone();
-        dead.run_until_cancelled(accept_all(listener, handler, faults)).await;
+        let killed = faults.killed().clone();
+        killed.run_until_cancelled(accept_all(listener, handler, faults)).await;
     });
     Ok(bound)
 }
@@ -81,8 +81,8 @@
         let handler = Arc::clone(&handler);
         let faults = Arc::clone(&faults);
         tokio::spawn(async move {
-            let dead = faults.dead().clone();
-            dead.run_until_cancelled(serve_connection(stream, handler, faults)).await;
+            let killed = faults.killed().clone();
+            killed.run_until_cancelled(serve_connection(stream, handler, faults)).await;
         });
     }
 }
@@ -91,36 +91,36 @@
 where
     H: Handler,
 {
-    let steers = Arc::new(AtomicBool::new(false));
-    let gated = GatedStream {
-        born: faults.generation(),
+    let is_control = Arc::new(AtomicBool::new(false));
+    let faulty = FaultyStream {
+        opened_generation: faults.stall_generation(),
         faults: Arc::clone(&faults),
-        steers: Arc::clone(&steers),
+        is_control: Arc::clone(&is_control),
         inner: stream,
     };
     let service = service_fn(move |request| {
         let handler = Arc::clone(&handler);
         let faults = Arc::clone(&faults);
         if request.uri().path().starts_with("/standin/") {
-            steers.store(true, Ordering::SeqCst);
+            is_control.store(true, Ordering::SeqCst);
         }
         async move { answer(request, handler, faults).await }
     });
-    // A broken connection is the peer's business; the stand-in's account shows what was done.
-    let _ = http1::Builder::new().serve_connection(TokioIo::new(gated), service).await;
+    // Connection errors are ignored; the handler's own records show which requests were executed.
+    let _ = http1::Builder::new().serve_connection(TokioIo::new(faulty), service).await;
 }
 
 async fn answer<H>(
     request: Request<Incoming>,
     handler: Arc<H>,
     faults: Arc<Faults>,
-) -> Result<Response<Body>, ReplyLost>
+) -> Result<Response<Body>, ResponseDropped>
 where
     H: Handler,
 {
     let path = request.uri().path().to_owned();
     if path == "/standin/steer" {
-        return Ok(steer(request, &faults).await);
+        return Ok(handle_fault_update(request, &faults).await);
     }
     if path.starts_with("/standin/") {
         return Ok(handler.handle(request).await);
@@ -128,51 +128,51 @@
     if faults.is_mute() {
         std::future::pending::<()>().await;
     }
-    let loses = faults.takes_reply(&path);
+    let drops_response = faults.should_drop_response(&path);
     let response = handler.handle(request).await;
-    if loses {
-        return Err(ReplyLost);
+    if drops_response {
+        return Err(ResponseDropped);
     }
     Ok(response)
 }
 
-async fn steer(request: Request<Incoming>, faults: &Faults) -> Response<Body> {
-    match read_json::<Steer>(request).await {
+async fn handle_fault_update(request: Request<Incoming>, faults: &Faults) -> Response<Body> {
+    match read_json::<FaultUpdate>(request).await {
         Ok(order) => {
-            faults.steer(&order);
+            faults.update_faults(&order);
             json(StatusCode::OK, &order)
         }
         Err(error) => bad_request(&error),
     }
 }
 
-/// A connection that stops moving bytes once it is silenced, without closing. One that steers is spared:
-/// whoever gave the order has to get its answer.
-struct GatedStream {
+/// A connection that stops transferring bytes once stalled, without closing. Connections that carry a `/standin/`
+/// request are exempt, so that the fault update itself gets a response.
+struct FaultyStream {
     inner: TcpStream,
-    born: u64,
-    steers: Arc<AtomicBool>,
+    opened_generation: u64,
+    is_control: Arc<AtomicBool>,
     faults: Arc<Faults>,
 }
 
-impl GatedStream {
-    fn silenced(&self) -> bool {
-        self.faults.generation() > self.born && !self.steers.load(Ordering::SeqCst)
+impl FaultyStream {
+    fn is_stalled(&self) -> bool {
+        self.faults.stall_generation() > self.opened_generation && !self.is_control.load(Ordering::SeqCst)
     }
 }
 
-impl AsyncRead for GatedStream {
+impl AsyncRead for FaultyStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.silenced() {
+        if self.is_stalled() {
             return Poll::Pending;
         }
         let filled_before = buf.filled().len();
         let polled = Pin::new(&mut self.inner).poll_read(cx, buf);
-        if self.silenced() {
+        if self.is_stalled() {
             buf.set_filled(filled_before);
             return Poll::Pending;
         }
@@ -180,33 +180,33 @@
     }
 }
 
-impl AsyncWrite for GatedStream {
+impl AsyncWrite for FaultyStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        if self.silenced() {
+        if self.is_stalled() {
             return Poll::Pending;
         }
         Pin::new(&mut self.inner).poll_write(cx, buf)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.silenced() {
+        if self.is_stalled() {
             return Poll::Pending;
         }
         Pin::new(&mut self.inner).poll_flush(cx)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.silenced() {
+        if self.is_stalled() {
             return Poll::Pending;
         }
         Pin::new(&mut self.inner).poll_shutdown(cx)
     }
 }
 
-/// Reads a whole request body.
+/// Reads the complete request body.
 ///
 /// # Errors
-/// The body did not arrive whole or is larger than any that a stand-in takes.
+/// The body is incomplete or larger than 64 MiB.
 pub async fn read_body(request: Request<Incoming>) -> Result<Bytes, ReadError> {
     Limited::new(request.into_body(), MAX_BODY_BYTES)
         .collect()
@@ -218,7 +218,7 @@
 /// Reads a request body as JSON.
 ///
 /// # Errors
-/// The body did not arrive whole or is not the JSON that the interface states.
+/// The body is incomplete, too large or not JSON of the expected type.
 pub async fn read_json<T>(request: Request<Incoming>) -> Result<T, ReadError>
 where
     T: DeserializeOwned,
@@ -227,24 +227,24 @@
     Ok(serde_json::from_slice(&bytes)?)
 }
 
-/// An answer with a JSON body.
+/// Builds a response with a JSON body.
 ///
 /// # Panics
-/// `value` cannot be written as JSON, which a type of this crate always can.
+/// `value` cannot be serialized, which does not happen for types of this crate.
 pub fn json<T>(status: StatusCode, value: &T) -> Response<Body>
 where
     T: Serialize,
 {
     let bytes = serde_json::to_vec(value).expect("types of this crate serialize");
-    let mut response = whole(status, bytes.into());
+    let mut response = with_body(status, bytes.into());
     response
         .headers_mut()
         .insert(http::header::CONTENT_TYPE, http::HeaderValue::from_static("application/json"));
     response
 }
 
-/// An answer with a whole body.
-pub fn whole(status: StatusCode, bytes: Bytes) -> Response<Body> {
+/// Builds a response with a complete body.
+pub fn with_body(status: StatusCode, bytes: Bytes) -> Response<Body> {
     let mut response = Response::new(Full::new(bytes).boxed_unsync());
     *response.status_mut() = status;
     response
@@ -255,17 +255,17 @@
     error: String,
 }
 
-/// The answer to a request that could not be read.
+/// Builds the response to a request that could not be read.
 pub fn bad_request(error: &ReadError) -> Response<Body> {
     json(StatusCode::BAD_REQUEST, &ErrorBody { error: error.to_string() })
 }
 
-/// The answer to a path that the stand-in does not have.
+/// Builds the response to an unknown path.
 pub fn not_found() -> Response<Body> {
-    whole(StatusCode::NOT_FOUND, Bytes::new())
+    with_body(StatusCode::NOT_FOUND, Bytes::new())
 }
 
-/// The number in the query parameter `name`, if it is there.
+/// Returns the query parameter `name` as a number; `None` if absent or invalid.
 pub fn query_number(request: &Request<Incoming>, name: &str) -> Option<u64> {
     let query = request.uri().query()?;
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,9 +1,8 @@
-//! Small stand-ins for the systems around hibiscusvale, answering `docs/INTERFACES.md`.
+//! In-process mock servers for the systems that hibiscusvale depends on, implementing `docs/INTERFACES.md`.
 //!
-//! Each stand-in is started on an address (port 0 lets the kernel choose), keeps its own account of what it
-//! did, and can be steered into the failures that the router must survive: through its handle inside a
-//! process, or by `POST /standin/steer` from outside. They are for tests and the demo only; no daemon links
-//! them.
+//! Each mock server binds an address (port 0 selects a free port), records the work it performs, and supports
+//! fault injection: through its handle in the same process, or with `POST /standin/update_faults` over HTTP. For tests
+//! and the demo only; no daemon links this crate.
 
 pub mod client;
 pub mod control;
@@ -21,7 +20,7 @@
 pub mod text;
 pub mod weights;
 
-pub use control::{Faults, Steer};
+pub use control::{FaultUpdate, Faults};
 pub use engine::{Engine, EngineHandle, EngineSettings};
 pub use hosts::{HostEntry, HostList, HostListHandle, HostListSettings};
 pub use log::{LogHandle, LogService, LogSettings};
--- a/crates/standins/src/load/answer.rs
+++ b/crates/standins/src/load/answer.rs
@@ -1,4 +1,4 @@
-//! Reads what a daemon answers and checks that it is the whole answer to the caller's own request.
+//! Reads a daemon's response and verifies that it is the complete answer to the caller's request.
 
 use std::time::Duration;
 
@@ -9,58 +9,58 @@
 use serde::Deserialize;
 use tokio::time::Instant;
 
-use crate::load::schedule::Planned;
+use crate::load::schedule::PlannedRequest;
 use crate::plain::PlainAnswer;
 use crate::text::expected_answer;
 
-/// What came of one call.
+/// Outcome of one call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// The whole answer came.
+    /// The complete answer arrived.
     Answered,
-    /// The daemon says that the request did not run.
+    /// The daemon reported that the request was not executed.
     NotRun,
-    /// Nobody can say: the daemon says so, or the connection broke.
+    /// Execution is uncertain: the daemon reported so, or the connection failed.
     Unknown,
-    /// The daemon took the call and gave no outcome, or one that is not true.
+    /// The daemon accepted the call and reported no outcome or a false one.
     Lost(Flaw),
-    /// The caller went away by itself.
+    /// The caller disconnected.
     Left,
 }
 
-/// Why an answer does not count.
+/// Reason why an answer is invalid.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Flaw {
-    /// Nothing came in the caller's time.
+    /// No response within the caller's timeout.
     NoOutcome,
-    /// A response without the header `x-outcome`.
+    /// The response has no valid `x-outcome` header.
     Unnamed,
-    /// An answer to another request, or with parts missing or doubled.
+    /// The answer belongs to another request, or parts are missing or duplicated.
     Wrong,
 }
 
-/// One call as its caller saw it.
+/// A call as observed by its caller.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// What came of it.
+    /// Outcome of the call.
     pub outcome: Outcome,
-    /// Header `x-request-id`, if a head came.
+    /// Header `x-request-id`; absent without a response head.
     pub request_id: Option<String>,
-    /// When the daemon asks to come back.
+    /// Header `retry-after`.
     pub retry_after: Option<Duration>,
-    /// Status, if a head came.
+    /// Status; absent without a response head.
     pub status: Option<StatusCode>,
-    /// Type of the refusal, if there is one.
+    /// Problem type of a refusal.
     pub refusal: Option<String>,
-    /// When the first token or the whole plain answer came.
+    /// Arrival of the first token or of the complete plain answer.
     pub first_at: Option<Instant>,
-    /// When the last token came.
+    /// Arrival of the last token.
     pub last_at: Option<Instant>,
 }
 
 impl Call {
-    /// A call of which no head came.
+    /// Creates a call without a response head.
     pub fn without_head(outcome: Outcome) -> Self {
         Self {
             outcome,
@@ -114,8 +114,13 @@
     text: String,
 }
 
-/// Reads the answer to a plain call.
-pub async fn read_plain(response: Response<Incoming>, planned: &Planned, path: &str, keyed: bool) -> Call {
+/// Reads the response to a plain call.
+pub async fn read_plain(
+    response: Response<Incoming>,
+    planned: &PlannedRequest,
+    path: &str,
+    keyed: bool,
+) -> Call {
     let mut call = Call::from_head(response.status(), response.headers());
     let Ok(body) = response.into_body().collect().await else {
         call.outcome = Outcome::Unknown;
@@ -133,7 +138,7 @@
     call
 }
 
-fn is_own_plain_answer(bytes: &Bytes, planned: &Planned, path: &str, keyed: bool) -> bool {
+fn is_own_plain_answer(bytes: &Bytes, planned: &PlannedRequest, path: &str, keyed: bool) -> bool {
     let Ok(answer) = serde_json::from_slice::<PlainAnswer>(bytes) else {
         return false;
     };
@@ -150,7 +155,7 @@
 }
 
 /// Reads a streamed completion token by token.
-pub async fn read_stream(response: Response<Incoming>, planned: &Planned) -> Call {
+pub async fn read_stream(response: Response<Incoming>, planned: &PlannedRequest) -> Call {
     let mut call = Call::from_head(response.status(), response.headers());
     if response.status() != StatusCode::OK {
         if let Ok(body) = response.into_body().collect().await {
@@ -176,7 +181,7 @@
     text: String,
     done: bool,
     failed: bool,
-    denied: bool,
+    not_run: bool,
 }
 
 impl Events {
@@ -203,7 +208,7 @@
         if let Some(problem) = event.error {
             call.refusal = Some(problem.kind);
             self.failed = true;
-            self.denied = problem.outcome == "not-run";
+            self.not_run = problem.outcome == "not-run";
         }
         let text = event.choices.first().map_or("", |choice| &choice.text);
         if !text.is_empty() {
@@ -214,9 +219,9 @@
         }
     }
 
-    fn outcome(&self, planned: &Planned) -> Outcome {
+    fn outcome(&self, planned: &PlannedRequest) -> Outcome {
         if !self.done {
-            return if self.denied { Outcome::NotRun } else { Outcome::Unknown };
+            return if self.not_run { Outcome::NotRun } else { Outcome::Unknown };
         }
         if self.failed || self.text != expected_answer(&planned.text, planned.answer_tokens) {
             return Outcome::Lost(Flaw::Wrong);
--- a/crates/standins/src/load/audit.rs
+++ b/crates/standins/src/load/audit.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins' own accounts say after a run.
+//! Collects the state and ledgers of the mock servers after a run.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,73 +12,73 @@
 use crate::plain::Execution;
 use crate::plan::Addresses;
 
-/// How long engines get to be empty after the last request ended.
-const EMPTY_WITHIN: Duration = Duration::from_secs(5);
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// Maximum wait for engines to release all requests after the last request ended.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Work of all engines together.
+/// Totals over all engines.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct EngineTotals {
     /// Requests that still hold memory.
     pub held: usize,
-    /// Milliseconds until nothing was held any more.
+    /// Milliseconds until no engine held a request, or until the wait timed out.
     pub empty_after_ms: u64,
-    /// Prompt tokens read.
+    /// Prompt tokens prefilled.
     pub prefill_tokens: u64,
-    /// Prompt tokens found in prefix caches.
+    /// Prompt tokens served from prefix caches.
     pub cached_tokens: u64,
-    /// Prefilled tokens evicted before they were imported.
+    /// Prefilled tokens evicted before import.
     pub evicted_tokens: u64,
     /// Prefilled tokens cancelled.
     pub cancelled_tokens: u64,
-    /// Imported tokens never decoded from.
+    /// Imported tokens released before decoding started.
     pub unused_tokens: u64,
-    /// Imports refused because no slot was free.
+    /// Imports rejected because no decode slot was free.
     pub slot_refusals: u64,
     /// Streams taken over by a newer connection.
     pub resumes: u64,
 }
 
-/// The accounts of all stand-ins.
+/// State and ledgers of all mock servers.
 #[derive(Clone, Debug, Default)]
 pub struct Audit {
-    /// Engines together.
+    /// Totals over all engines.
     pub engines: EngineTotals,
-    /// Prefill work per engine request: all of it, and the largest part that was used.
+    /// Prefill work by engine request id.
     pub work: BTreeMap<String, Work>,
-    /// Executions of plain calls by idempotency key.
-    pub runs_by_key: BTreeMap<String, usize>,
-    /// Request ids that plain instances saw.
-    pub ran_requests: BTreeSet<String>,
+    /// Number of executions of plain calls by idempotency key.
+    pub executions_by_key: BTreeMap<String, usize>,
+    /// Request ids executed by plain instances.
+    pub executed_requests: BTreeSet<String>,
 }
 
 /// Prefill work for one engine request over all engines.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Work {
-    /// All of it.
+    /// Prompt tokens prefilled.
     pub tokens: u64,
-    /// The part that led to a result which was imported.
+    /// Prefilled tokens of the largest result that was imported.
     pub used_tokens: u64,
 }
 
 impl Audit {
-    /// Asks all stand-ins, after giving the engines time to be empty. One that does not answer was killed on
-    /// purpose, and what it held is gone with it.
+    /// Queries all mock servers, after waiting up to 5 s for the engines to release all requests. An engine that does
+    /// not respond was killed deliberately and holds nothing.
     ///
     /// # Errors
-    /// A plain instance does not answer, so that its ledger is missing.
+    /// A plain instance does not respond, so its ledger is missing.
     pub async fn take(addresses: &Addresses) -> Result<Self, CallError> {
         let mut audit = Self::default();
         let started = Instant::now();
         loop {
             let states = engine_states(addresses).await;
             let held: usize = states.iter().map(|state| state.held.len()).sum();
-            if held == 0 || started.elapsed() >= EMPTY_WITHIN {
+            if held == 0 || started.elapsed() >= DRAIN_TIMEOUT {
                 let empty_after_ms = u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX);
                 audit.add_engines(&states, held, empty_after_ms);
                 break;
             }
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
         for entry in addresses.backend_servers.iter().filter(|entry| entry.kind == Kind::Plain) {
             let ledger: Vec<Execution> = get_json(entry.address, "/standin/ledger").await?;
@@ -109,15 +109,14 @@
     /// Adds the ledger of one plain instance.
     pub fn add_ledger(&mut self, ledger: Vec<Execution>) {
         for execution in ledger {
-            self.ran_requests.extend(execution.request_id);
+            self.executed_requests.extend(execution.request_id);
             if let Some(key) = execution.idempotency_key {
-                *self.runs_by_key.entry(key).or_default() += 1;
+                *self.executions_by_key.entry(key).or_default() += 1;
             }
         }
     }
 
-    /// Prefill work for the request that callers know as `request_id`; the router may add a suffix for each
-    /// attempt of its own.
+    /// Prefill work for the caller's `request_id`; the router may append a suffix for each of its own attempts.
     pub fn work_of(&self, request_id: &str) -> Work {
         let named = self.work.range(request_id.to_owned()..);
         let named = named.take_while(|(id, _)| id.starts_with(request_id));
--- a/crates/standins/src/load/balancer.rs
+++ b/crates/standins/src/load/balancer.rs
@@ -1,4 +1,4 @@
-//! The platform's balancer as callers meet it: it sends them to any daemon that says that it is ready.
+//! Mock of the platform's load balancer: routes callers to any daemon that reports ready.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,13 +14,13 @@
 use crate::client::call;
 use crate::load::settings::Entry;
 
-/// Pause between two looks at a daemon.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+/// Interval between readiness probes.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A daemon that does not say so within this is taken for not ready.
-const LOOK_TIMEOUT: Duration = Duration::from_millis(500);
+/// Probe timeout; a daemon that does not respond in time counts as not ready.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The daemons that were ready at the last look.
+/// Daemons that were ready at the last probe.
 #[derive(Clone, Debug)]
 pub struct Balancer {
     all: Vec<SocketAddr>,
@@ -28,28 +28,28 @@
 }
 
 impl Balancer {
-    /// Starts to look at `entries`. Those that name no operator address count as ready.
+    /// Starts probing `entries`. A daemon without an operator address counts as ready.
     pub fn start(entries: &[Entry]) -> Self {
         let all: Vec<_> = entries.iter().map(|entry| entry.callers).collect();
         let balancer = Self { ready: Arc::new(RwLock::new(all.clone())), all };
         for entry in entries {
             if let Some(operators) = entry.operators {
-                tokio::spawn(balancer.clone().look(entry.callers, operators));
+                tokio::spawn(balancer.clone().probe(entry.callers, operators));
             }
         }
         balancer
     }
 
-    async fn look(self, callers: SocketAddr, operators: SocketAddr) {
+    async fn probe(self, callers: SocketAddr, operators: SocketAddr) {
         loop {
-            let looked = timeout(LOOK_TIMEOUT, call(operators, Method::GET, "/readyz", Bytes::new())).await;
-            let is_ready = matches!(looked, Ok(Ok((StatusCode::OK, _))));
-            self.note(callers, is_ready);
-            sleep(LOOK_EVERY).await;
+            let probed = timeout(PROBE_TIMEOUT, call(operators, Method::GET, "/readyz", Bytes::new())).await;
+            let is_ready = matches!(probed, Ok(Ok((StatusCode::OK, _))));
+            self.set_ready(callers, is_ready);
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    fn note(&self, callers: SocketAddr, is_ready: bool) {
+    fn set_ready(&self, callers: SocketAddr, is_ready: bool) {
         let mut ready = self.ready.write();
         ready.retain(|address| *address != callers);
         if is_ready {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// A daemon for the next call, another than `last` where there is one.
+    /// Picks a daemon for the next call, other than `last` if possible.
     ///
     /// # Panics
     /// The plan names no daemon.
--- a/crates/standins/src/load/caller.rs
+++ b/crates/standins/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: each sends its request to any daemon, and again to another where that is right.
+//! Callers: each sends its request to a daemon and retries on another where permitted.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,34 +18,34 @@
 
 use crate::load::answer::{Call, Flaw, Outcome, read_plain, read_stream};
 use crate::load::balancer::Balancer;
-use crate::load::schedule::{Planned, schedule};
+use crate::load::schedule::{PlannedRequest, schedule};
 use crate::load::settings::{Flow, FlowKind, LoadPlan};
 
-/// Least and greatest wait before another call, where the daemon names none.
-const BACK_OFF_MS: (u64, u64) = (20, 200);
+/// Range of the random back-off before a retry when the daemon sends no `retry-after`.
+const BACKOFF_RANGE_MS: (u64, u64) = (20, 200);
 
-/// Longest wait that a caller grants a daemon; a run has to end.
-const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(2);
+/// Upper bound on `retry-after`, so that a run ends.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Calls that find no daemon listening cost a caller nothing; the balancer picks another this often.
-const REFUSED_CONNECTIONS: u32 = 500;
+/// Maximum refused connections per request; they do not count as attempts.
+const MAX_REFUSED_CONNECTIONS: u32 = 500;
 
-/// Time until the balancer tries another daemon.
-const NEXT_CONNECTION: Duration = Duration::from_millis(5);
+/// Delay before another daemon is tried after a refused connection.
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// A request with all that its caller saw.
+/// A request and all calls made for it.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// What was planned.
-    pub planned: Planned,
-    /// When it was first sent.
+    /// The planned request.
+    pub planned: PlannedRequest,
+    /// Time of the first call.
     pub sent_at: Instant,
-    /// Its calls, in order.
+    /// Calls, oldest first.
     pub calls: Vec<Call>,
 }
 
 impl Record {
-    /// What the caller knows in the end: answered if any call was, else unknown if any call may have run.
+    /// Combined outcome over all calls: lost if any call was lost, then answered, left and unknown, else not run.
     pub fn outcome(&self) -> Outcome {
         let outcomes = || self.calls.iter().map(|call| &call.outcome);
         let lost = outcomes().find(|outcome| matches!(outcome, Outcome::Lost(_)));
@@ -61,20 +61,20 @@
     }
 }
 
-/// What a caller does after a call.
-enum Next {
-    Settled,
-    Again { asked_wait: Option<Duration> },
+/// Next step of a caller after a call.
+enum NextStep {
+    Finish,
+    Retry { requested_delay: Option<Duration> },
 }
 
-impl Next {
+impl NextStep {
     fn after(call: &Call) -> Self {
-        let asked_wait = call.retry_after;
+        let requested_delay = call.retry_after;
         match call.outcome {
-            Outcome::Unknown => Self::Again { asked_wait },
-            // A refusal that another try cannot mend comes without a time.
-            Outcome::NotRun if asked_wait.is_some() => Self::Again { asked_wait },
-            Outcome::NotRun | Outcome::Answered | Outcome::Lost(_) | Outcome::Left => Self::Settled,
+            Outcome::Unknown => Self::Retry { requested_delay },
+            // Refusals that a retry cannot resolve have no `retry-after`.
+            Outcome::NotRun if requested_delay.is_some() => Self::Retry { requested_delay },
+            Outcome::NotRun | Outcome::Answered | Outcome::Lost(_) | Outcome::Left => Self::Finish,
         }
     }
 }
@@ -95,11 +95,11 @@
     stream: bool,
 }
 
-/// Sends the whole load; returns when every request has its end.
+/// Sends the load; returns when all requests have ended.
 pub async fn send_all(plan: &LoadPlan) -> Vec<Record> {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
-    // A retry below the caller would hide what the daemons do.
+    // Retries inside the HTTP client would hide failures of the daemons.
     let client = Client::builder(TokioExecutor::new()).retry_canceled_requests(false).build(connector);
     let balancer = Balancer::start(&plan.daemons);
     let callers = plan.flows.iter().map(|flow| {
@@ -107,7 +107,7 @@
     });
     let callers: Vec<_> = callers.collect();
     let start = Instant::now();
-    let requests = schedule(plan, &run_name()).into_iter().map(|planned| {
+    let requests = schedule(plan, &run_prefix()).into_iter().map(|planned| {
         let caller = Arc::clone(&callers[planned.flow]);
         tokio::spawn(async move { caller.run(planned, start).await })
     });
@@ -115,47 +115,47 @@
     ended.into_iter().flatten().collect()
 }
 
-/// Keys are remembered beyond a run, so that each run needs names of its own.
-fn run_name() -> String {
+/// Random prefix of request names; daemons remember idempotency keys across runs.
+fn run_prefix() -> String {
     format!("{:08x}", rand::random::<u32>())
 }
 
 impl Caller {
-    async fn run(&self, planned: Planned, start: Instant) -> Record {
+    async fn run(&self, planned: PlannedRequest, start: Instant) -> Record {
         sleep_until(start + planned.at).await;
         let sent_at = Instant::now();
-        let leaves_after = planned.leaves_after;
+        let disconnect_after = planned.disconnect_after;
         let mut record = Record { planned, sent_at, calls: Vec::new() };
-        let Some(stays) = leaves_after else {
-            self.call_until_settled(&mut record).await;
+        let Some(disconnect_delay) = disconnect_after else {
+            self.call_with_retries(&mut record).await;
             return record;
         };
-        if timeout(stays, self.call_until_settled(&mut record)).await.is_err() {
+        if timeout(disconnect_delay, self.call_with_retries(&mut record)).await.is_err() {
             record.calls.push(Call::without_head(Outcome::Left));
         }
         record
     }
 
-    async fn call_until_settled(&self, record: &mut Record) {
+    async fn call_with_retries(&self, record: &mut Record) {
         let mut rng = StdRng::seed_from_u64(record.planned.seed);
         let mut daemon = self.balancer.pick(&mut rng, None);
         let mut refused = 0;
-        while record.calls.len() < self.flow.attempts && refused < REFUSED_CONNECTIONS {
+        while record.calls.len() < self.flow.attempts && refused < MAX_REFUSED_CONNECTIONS {
             let call = self.call(&record.planned, daemon).await;
             let Some(call) = call else {
                 refused += 1;
-                sleep(NEXT_CONNECTION).await;
+                sleep(CONNECT_RETRY_DELAY).await;
                 daemon = self.balancer.pick(&mut rng, Some(daemon));
                 continue;
             };
-            let next = Next::after(&call);
+            let next = NextStep::after(&call);
             record.calls.push(call);
-            let Next::Again { asked_wait } = next else {
+            let NextStep::Retry { requested_delay } = next else {
                 return;
             };
-            let (least, greatest) = BACK_OFF_MS;
+            let (least, greatest) = BACKOFF_RANGE_MS;
             let own_wait = Duration::from_millis(rng.random_range(least..greatest));
-            sleep(asked_wait.map_or(own_wait, |asked| asked.min(LONGEST_RETRY_AFTER))).await;
+            sleep(requested_delay.map_or(own_wait, |asked| asked.min(MAX_RETRY_AFTER))).await;
             daemon = self.balancer.pick(&mut rng, Some(daemon));
         }
         if record.calls.is_empty() {
@@ -163,8 +163,8 @@
         }
     }
 
-    /// One call; `None` if no daemon listens there.
-    async fn call(&self, planned: &Planned, daemon: SocketAddr) -> Option<Call> {
+    /// Makes one call; `None` if the connection was refused.
+    async fn call(&self, planned: &PlannedRequest, daemon: SocketAddr) -> Option<Call> {
         let limit = Duration::from_millis(self.flow.timeout_ms);
         match timeout(limit, self.exchange(planned, daemon)).await {
             Ok(call) => call,
@@ -172,7 +172,7 @@
         }
     }
 
-    async fn exchange(&self, planned: &Planned, daemon: SocketAddr) -> Option<Call> {
+    async fn exchange(&self, planned: &PlannedRequest, daemon: SocketAddr) -> Option<Call> {
         let path = self.path(planned);
         let request = self.request(planned, daemon, &path);
         let response = match self.client.request(request).await {
@@ -188,7 +188,7 @@
         Some(call)
     }
 
-    fn path(&self, planned: &Planned) -> String {
+    fn path(&self, planned: &PlannedRequest) -> String {
         match self.flow.kind {
             FlowKind::Completion => "/v1/completions".to_owned(),
             FlowKind::Once => self.flow.path.clone(),
@@ -196,7 +196,7 @@
         }
     }
 
-    fn request(&self, planned: &Planned, daemon: SocketAddr, path: &str) -> Request<Full<Bytes>> {
+    fn request(&self, planned: &PlannedRequest, daemon: SocketAddr, path: &str) -> Request<Full<Bytes>> {
         let flow = &self.flow;
         let mut request = Request::builder()
             .uri(format!("http://{daemon}{path}"))
@@ -217,7 +217,7 @@
         request.expect("the plan holds a valid path and valid header values")
     }
 
-    fn completion(&self, planned: &Planned) -> Bytes {
+    fn completion(&self, planned: &PlannedRequest) -> Bytes {
         let completion = Completion {
             model: &self.flow.model,
             prompt: &planned.text,
--- a/crates/standins/src/load/cmd/latency.rs
+++ b/crates/standins/src/load/cmd/latency.rs
@@ -1,4 +1,4 @@
-//! `hibiscusvale-load latency`: times on several ways in one run, and what they cost a daemon.
+//! `hibiscusvale-load latency`: latency of several routes in one run, and the CPU time of a daemon.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -8,16 +8,16 @@
 use serde::Serialize;
 
 use crate::load::cpu::CpuClock;
-use crate::load::latency::{LatencyPlan, WayTimes, measure};
+use crate::load::latency::{LatencyPlan, RouteLatency, measure};
 
 /// Options of the subcommand.
 #[derive(Debug, Options)]
 pub struct Latency {
-    #[options(help = "show this text")]
+    #[options(help = "print this help")]
     help: bool,
-    #[options(help = "TOML file that says what to call", required)]
+    #[options(help = "TOML file with the calls to make", required)]
     plan: PathBuf,
-    #[options(no_short, help = "process whose processor time is measured")]
+    #[options(no_short, help = "process whose CPU time is measured")]
     daemon_pid: Option<u32>,
     #[options(help = "JSON file to write the report to")]
     json: Option<PathBuf>,
@@ -27,14 +27,14 @@
 struct Report {
     streams: usize,
     seconds: f64,
-    ways: Vec<WayTimes>,
+    ways: Vec<RouteLatency>,
     daemon_cpu_seconds: Option<f64>,
-    /// Only where every call goes through the daemon.
+    /// Present only with a single route, where every call goes through the daemon.
     calls_per_cpu_second: Option<f64>,
 }
 
 impl Report {
-    fn new(plan: &LatencyPlan, ways: Vec<WayTimes>, seconds: f64, daemon_cpu: Option<Duration>) -> Self {
+    fn new(plan: &LatencyPlan, ways: Vec<RouteLatency>, seconds: f64, daemon_cpu: Option<Duration>) -> Self {
         let daemon_cpu_seconds = daemon_cpu.map(|cpu| cpu.as_secs_f64());
         let calls = (plan.streams * (plan.warm_up + plan.calls)) as f64;
         let is_one_way = plan.ways.len() == 1;
@@ -52,7 +52,7 @@
     pub(super) async fn run(self) -> anyhow::Result<bool> {
         let text = std::fs::read_to_string(&self.plan)
             .with_context(|| format!("could not read {}", self.plan.display()))?;
-        let plan: LatencyPlan = toml::from_str(&text).context("could not understand the plan")?;
+        let plan: LatencyPlan = toml::from_str(&text).context("could not parse the plan")?;
         let clock = self.daemon_pid.map(CpuClock::new);
         let started = std::time::Instant::now();
         let before = clock.as_ref().map(CpuClock::read).transpose()?;
@@ -88,9 +88,9 @@
     }
     println!("{} streams, {:.1} s", report.streams, report.seconds);
     if let Some(cpu) = report.daemon_cpu_seconds {
-        println!("the daemon used {cpu:.2} s of processor time");
+        println!("the daemon used {cpu:.2} s of CPU time");
     }
     if let Some(rate) = report.calls_per_cpu_second {
-        println!("{rate:.0} calls per second and core of the daemon, those of the warm-up included");
+        println!("{rate:.0} calls per second and core of the daemon, including the warm-up");
     }
 }
--- a/crates/standins/src/load/cmd/mixed.rs
+++ b/crates/standins/src/load/cmd/mixed.rs
@@ -1,4 +1,4 @@
-//! `hibiscusvale-load mixed`: a mixed load, audited.
+//! `hibiscusvale-load mixed`: sends a mixed load and audits the outcomes.
 
 use std::path::PathBuf;
 
@@ -14,11 +14,11 @@
 /// Options of the subcommand.
 #[derive(Debug, Options)]
 pub struct Mixed {
-    #[options(help = "show this text")]
+    #[options(help = "print this help")]
     help: bool,
-    #[options(help = "TOML file that says what to send", required)]
+    #[options(help = "TOML file with the load to send", required)]
     plan: PathBuf,
-    #[options(help = "JSON file with the stand-ins' addresses", required)]
+    #[options(help = "JSON file with the addresses of the mock servers", required)]
     addresses: PathBuf,
     #[options(help = "JSON file to write the report to")]
     json: Option<PathBuf>,
@@ -28,11 +28,11 @@
     pub(super) async fn run(self) -> anyhow::Result<bool> {
         let plan = std::fs::read_to_string(&self.plan)
             .with_context(|| format!("could not read {}", self.plan.display()))?;
-        let plan: LoadPlan = toml::from_str(&plan).context("could not understand the plan")?;
+        let plan: LoadPlan = toml::from_str(&plan).context("could not parse the plan")?;
         let addresses = std::fs::read(&self.addresses)
             .with_context(|| format!("could not read {}", self.addresses.display()))?;
         let addresses: Addresses =
-            serde_json::from_slice(&addresses).context("could not understand the addresses")?;
+            serde_json::from_slice(&addresses).context("could not parse the addresses")?;
         let records = send_all(&plan).await;
         let audit = Audit::take(&addresses).await?;
         let report = Report::new(&plan, &records, &audit);
--- a/crates/standins/src/load/cpu.rs
+++ b/crates/standins/src/load/cpu.rs
@@ -1,42 +1,43 @@
-//! Processor time of another process.
+//! CPU time of another process.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The kernel counts processor time in these units towards programs (`USER_HZ`), on every architecture in use.
+/// Unit of CPU time in `/proc` (`USER_HZ`); 100 on all supported architectures.
 const TICKS_PER_SECOND: u64 = 100;
 const MILLIS_PER_SECOND: u64 = 1_000;
 
-/// Fields of `/proc/PID/stat` behind the program's name: user time, then system time (proc(5), fields 14, 15).
+/// Index of user time in `/proc/PID/stat`, counted after the program name; system time follows (proc(5), fields 14
+/// and 15).
 const USER_TIME_FIELD: usize = 11;
 
-/// Processor time could not be read.
+/// Error while reading CPU time.
 #[derive(Debug, thiserror::Error)]
 pub enum CpuError {
     /// The process has ended.
-    #[error("could not read the processor time of the process")]
+    #[error("could not read the CPU time of the process")]
     Gone(#[from] std::io::Error),
-    /// The kernel's text is not as expected.
-    #[error("could not understand the processor time of the process")]
+    /// `/proc/PID/stat` has an unexpected format.
+    #[error("could not parse the CPU time of the process")]
     Format,
 }
 
-/// Reads the processor time of one process.
+/// Reads the CPU time of a process.
 #[derive(Clone, Debug)]
 pub struct CpuClock {
     path: PathBuf,
 }
 
 impl CpuClock {
-    /// The clock of the process `pid`.
+    /// Creates a clock for the process `pid`.
     pub fn new(pid: u32) -> Self {
         Self { path: PathBuf::from(format!("/proc/{pid}/stat")) }
     }
 
-    /// User and system time so far.
+    /// Returns the sum of user and system time.
     ///
     /// # Errors
-    /// [`CpuError`].
+    /// The process has ended, or the format is unexpected.
     pub fn read(&self) -> Result<Duration, CpuError> {
         let text = std::fs::read_to_string(&self.path)?;
         let (_, fields) = text.rsplit_once(") ").ok_or(CpuError::Format)?;
--- a/crates/standins/src/load/tally.rs
+++ b/crates/standins/src/load/flow_stats.rs
@@ -1,4 +1,4 @@
-//! Counts of one partner's class.
+//! Statistics of one flow.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,99 +11,100 @@
 use crate::load::caller::Record;
 use crate::load::settings::{Flow, FlowKind};
 
-/// Three digits are enough for a table.
+/// Precision of the histograms; the table shows no more digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
 const MICROS_PER_MILLI: f64 = 1_000.0;
 
-/// Half and nineteen in twenty of a time, in milliseconds.
+/// Percentiles of a duration, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Times {
-    /// The median.
+pub struct Percentiles {
+    /// Median.
     pub p50_ms: f64,
-    /// The 95th percentile.
+    /// 95th percentile.
     pub p95_ms: f64,
 }
 
-/// What came of the requests of one flow.
+/// Outcomes and latency of the requests of one flow.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Tally {
+pub struct FlowStats {
     /// The partner.
     pub partner: String,
     /// The class.
     pub class: String,
-    /// Requests sent, however often each was called.
+    /// Requests sent, without retries.
     pub sent: usize,
-    /// Calls made for them.
+    /// Calls made, including retries.
     pub calls: usize,
-    /// Answered whole.
+    /// Requests answered completely.
     pub answered: usize,
-    /// Said not to have run.
+    /// Requests reported as not executed.
     pub not_run: usize,
-    /// Of which nobody can say.
+    /// Requests whose execution is uncertain.
     pub unknown: usize,
-    /// Whose callers went away.
+    /// Requests whose callers disconnected.
     pub left: usize,
-    /// Without a true outcome.
+    /// Requests without a true outcome.
     pub lost: usize,
-    /// Run more than once, or run although said not to have.
+    /// Requests executed more than once, or executed although reported as not run.
     pub doubled: usize,
-    /// Lost ones by flaw.
+    /// Lost requests by cause.
     pub flaws: BTreeMap<Flaw, usize>,
     /// Refusals over all calls, by type.
     pub refusals: BTreeMap<String, usize>,
-    /// Answered within their targets.
+    /// Requests answered within their targets.
     pub goodput: usize,
-    /// Prompt tokens read for them.
+    /// Prompt tokens prefilled.
     pub prefill_tokens: u64,
-    /// The part of these that was thrown away or done again.
+    /// Prefilled tokens that were discarded or repeated.
     pub wasted_prefill_tokens: u64,
-    /// Time to the first token, or to the whole plain answer.
-    pub first_token: Times,
+    /// Time to the first token, or to the complete plain answer.
+    pub first_token: Percentiles,
     /// Mean time between tokens.
-    pub per_token: Times,
+    pub per_token: Percentiles,
 }
 
 #[derive(Debug)]
-struct Spans(Histogram<u64>);
+struct LatencyHistogram(Histogram<u64>);
 
-impl Spans {
+impl LatencyHistogram {
     fn new() -> Self {
-        Self(Histogram::new(SIGNIFICANT_DIGITS).expect("a constant that the library allows"))
+        Self(Histogram::new(SIGNIFICANT_DIGITS).expect("the precision is valid"))
     }
 
     fn record(&mut self, span: Duration) {
         let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
-        self.0.record(micros).expect("the histogram grows with what it records");
+        self.0.record(micros).expect("the histogram resizes automatically");
     }
 
-    fn times(&self) -> Times {
+    fn times(&self) -> Percentiles {
         let at = |quantile| self.0.value_at_quantile(quantile) as f64 / MICROS_PER_MILLI;
-        Times { p50_ms: at(0.5), p95_ms: at(0.95) }
+        Percentiles { p50_ms: at(0.5), p95_ms: at(0.95) }
     }
 }
 
-impl Tally {
-    /// Counts the `records` of `flow` against the stand-ins' accounts.
+impl FlowStats {
+    /// Evaluates the `records` of `flow` against the audit.
     pub fn count<'a, R>(flow: &Flow, records: R, audit: &Audit) -> Self
     where
         R: Iterator<Item = &'a Record>,
     {
-        let mut tally = Self { partner: flow.partner.clone(), class: flow.class.clone(), ..Self::default() };
-        let mut first_token = Spans::new();
-        let mut per_token = Spans::new();
+        let mut flow_stats =
+            Self { partner: flow.partner.clone(), class: flow.class.clone(), ..Self::default() };
+        let mut first_token = LatencyHistogram::new();
+        let mut per_token = LatencyHistogram::new();
         for record in records {
-            tally.add(flow, record, audit);
+            flow_stats.add(flow, record, audit);
             if record.outcome() != Outcome::Answered {
                 continue;
             }
-            let spans = AnswerSpans::of(record);
+            let spans = AnswerLatency::of(record);
             first_token.record(spans.first);
             per_token.record(spans.per_token);
-            tally.goodput += usize::from(spans.within_targets(flow));
+            flow_stats.goodput += usize::from(spans.within_targets(flow));
         }
-        tally.first_token = first_token.times();
-        tally.per_token = per_token.times();
-        tally
+        flow_stats.first_token = first_token.times();
+        flow_stats.per_token = per_token.times();
+        flow_stats
     }
 
     fn add(&mut self, flow: &Flow, record: &Record, audit: &Audit) {
@@ -129,14 +130,15 @@
         self.add_prefill(record, audit);
     }
 
-    /// The ledgers decide what really ran. An answer without an execution is not true either.
+    /// Checks a reported outcome against the ledgers, which are authoritative. An answer without an execution is
+    /// wrong, too.
     fn check_ledger(&mut self, record: &Record, outcome: Outcome, audit: &Audit) -> Outcome {
-        let runs = audit.runs_by_key.get(&record.planned.name).copied().unwrap_or_default();
+        let runs = audit.executions_by_key.get(&record.planned.name).copied().unwrap_or_default();
         let not_run = record.calls.iter().filter(|call| call.outcome == Outcome::NotRun);
-        let mut denied = not_run.filter_map(|call| call.request_id.as_ref());
-        let denied_but_ran = denied.any(|id| audit.ran_requests.contains(id));
-        let never_but_ran = outcome == Outcome::NotRun && runs > 0;
-        self.doubled += usize::from(runs > 1 || denied_but_ran || never_but_ran);
+        let mut rejected = not_run.filter_map(|call| call.request_id.as_ref());
+        let rejected_but_executed = rejected.any(|id| audit.executed_requests.contains(id));
+        let not_run_but_executed = outcome == Outcome::NotRun && runs > 0;
+        self.doubled += usize::from(runs > 1 || rejected_but_executed || not_run_but_executed);
         if outcome == Outcome::Answered && runs == 0 {
             return Outcome::Lost(Flaw::Wrong);
         }
@@ -157,13 +159,13 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct AnswerSpans {
+struct AnswerLatency {
     first: Duration,
     per_token: Duration,
 }
 
-impl AnswerSpans {
-    /// From the first sending on: a caller who had to call twice waited for both.
+impl AnswerLatency {
+    /// Measures from the first send, so that the time of retries is included.
     fn of(record: &Record) -> Self {
         let answered = record.calls.iter().find(|call| call.outcome == Outcome::Answered);
         let first_at = answered.and_then(|call| call.first_at).unwrap_or(record.sent_at);
--- a/crates/standins/src/load/latency.rs
+++ b/crates/standins/src/load/latency.rs
@@ -1,4 +1,4 @@
-//! Added latency: the same calls straight to a stand-in and through a daemon, interleaved in one run.
+//! Added latency: identical calls sent directly to a mock server and through a daemon, interleaved in one run.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,80 +17,79 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::{Instant, sleep};
 
-/// Three digits are enough for a table.
+/// Precision of the histograms; the table shows no more digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
 const MICROS_PER_MILLI: f64 = 1_000.0;
 
-/// What is measured.
+/// Configuration of a latency measurement.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LatencyPlan {
-    /// Seed of the pauses.
+    /// Seed of the pauses and of the order of routes.
     pub seed: u64,
-    /// Calls at once.
+    /// Concurrent streams of calls.
     pub streams: usize,
-    /// Calls that each stream makes on each way.
+    /// Calls per stream and route.
     pub calls: usize,
-    /// Calls of each stream and way that are not counted: connections open, caches fill.
+    /// Uncounted calls per stream and route, to open connections and fill caches.
     pub warm_up: usize,
-    /// Greatest pause of a stream between two calls; the least is none.
+    /// Maximum random pause of a stream between two calls; the minimum is 0.
     pub pause_us: u64,
-    /// The ways, called in turn in an order drawn anew for each round.
-    pub ways: Vec<Way>,
+    /// Routes; each round calls all of them, starting at a random one.
+    pub ways: Vec<Route>,
 }
 
-/// One way to make a call.
+/// A route on which calls are made.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Way {
-    /// Its name in the report.
+pub struct Route {
+    /// Name in the report.
     pub name: String,
-    /// Where the call goes.
+    /// Destination address.
     pub address: SocketAddr,
-    /// Method of the call.
+    /// HTTP method.
     pub method: String,
-    /// Path of the call.
+    /// Request path.
     pub path: String,
-    /// Headers of the call; `{n}` in a value becomes a number that is never the same.
+    /// Request headers; `{n}` in a value is replaced by a random number per call.
     #[serde(default)]
     pub headers: BTreeMap<String, String>,
-    /// Body of the call; `{n}` likewise.
+    /// Request body; `{n}` is replaced as in the headers.
     #[serde(default)]
     pub body: String,
-    /// Calls that come before it on a direct way, as the router would make them itself: paths and bodies at
-    /// addresses of their own. Their time counts.
+    /// Calls that the router would make itself, made first on a direct route. Their time is included.
     #[serde(default)]
     pub before: Vec<Step>,
 }
 
-/// A call that comes before another.
+/// A call made before the measured one.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
-    /// Where the call goes.
+    /// Destination address.
     pub address: SocketAddr,
-    /// Path of the call.
+    /// Request path.
     pub path: String,
-    /// Body of the call.
+    /// Request body.
     pub body: String,
 }
 
-/// Times of one way.
+/// Latency of one route.
 #[derive(Clone, Debug, Serialize)]
-pub struct WayTimes {
-    /// The way.
+pub struct RouteLatency {
+    /// Name of the route.
     pub name: String,
-    /// Calls counted.
+    /// Number of successful calls.
     pub calls: u64,
-    /// Calls that did not succeed; none of them is in the times.
+    /// Number of failed calls, excluded from the times.
     pub failed: u64,
-    /// Until the first byte of the body: median and 99th percentile.
+    /// Time to the first byte of the body: median.
     pub first_byte_p50_ms: f64,
-    /// Until the first byte of the body: 99th percentile.
+    /// Time to the first byte of the body: 99th percentile.
     pub first_byte_p99_ms: f64,
-    /// Until the whole answer: median.
+    /// Time to the complete response: median.
     pub whole_p50_ms: f64,
-    /// Until the whole answer: 99th percentile.
+    /// Time to the complete response: 99th percentile.
     pub whole_p99_ms: f64,
 }
 
@@ -109,12 +108,12 @@
 
 type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// A call got no whole answer with a status of success.
+/// A call did not receive a complete response with a success status.
 #[derive(Clone, Copy, Debug)]
-struct Failed;
+struct CallFailed;
 
-/// Makes all calls of the plan.
-pub async fn measure(plan: &LatencyPlan) -> Vec<WayTimes> {
+/// Makes all calls of the plan and returns the latency of each route.
+pub async fn measure(plan: &LatencyPlan) -> Vec<RouteLatency> {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     let client = Client::builder(TokioExecutor::new()).build(connector);
@@ -140,73 +139,74 @@
             match called {
                 _ if round < plan.warm_up => {}
                 Ok((first_byte, whole)) => result.samples.push(Sample { way, first_byte, whole }),
-                Err(Failed) => result.failed.push(way),
+                Err(CallFailed) => result.failed.push(way),
             }
         }
     }
     result
 }
 
-async fn call(client: &HttpClient, way: &Way, number: &str) -> Result<(Duration, Duration), Failed> {
+async fn call(client: &HttpClient, way: &Route, number: &str) -> Result<(Duration, Duration), CallFailed> {
     let started = Instant::now();
     for step in &way.before {
         let uri = format!("http://{}{}", step.address, step.path);
-        let request = Request::post(uri).body(Full::new(fill(&step.body, number))).map_err(|_| Failed)?;
-        let response = client.request(request).await.map_err(|_| Failed)?;
+        let request =
+            Request::post(uri).body(Full::new(expand(&step.body, number))).map_err(|_| CallFailed)?;
+        let response = client.request(request).await.map_err(|_| CallFailed)?;
         if !response.status().is_success() {
-            return Err(Failed);
+            return Err(CallFailed);
         }
-        response.into_body().collect().await.map_err(|_| Failed)?;
+        response.into_body().collect().await.map_err(|_| CallFailed)?;
     }
     let mut request = Request::builder()
-        .method(Method::from_bytes(way.method.as_bytes()).map_err(|_| Failed)?)
+        .method(Method::from_bytes(way.method.as_bytes()).map_err(|_| CallFailed)?)
         .uri(format!("http://{}{}", way.address, way.path));
     for (name, value) in &way.headers {
         request = request.header(name, value.replace("{n}", number));
     }
-    let request = request.body(Full::new(fill(&way.body, number))).map_err(|_| Failed)?;
-    let response = client.request(request).await.map_err(|_| Failed)?;
+    let request = request.body(Full::new(expand(&way.body, number))).map_err(|_| CallFailed)?;
+    let response = client.request(request).await.map_err(|_| CallFailed)?;
     if !response.status().is_success() {
-        return Err(Failed);
+        return Err(CallFailed);
     }
     let mut body = response.into_body();
     let mut first_byte = None;
     while let Some(frame) = body.frame().await {
-        frame.map_err(|_| Failed)?;
+        frame.map_err(|_| CallFailed)?;
         first_byte.get_or_insert_with(|| started.elapsed());
     }
     let whole = started.elapsed();
     Ok((first_byte.unwrap_or(whole), whole))
 }
 
-fn fill(text: &str, number: &str) -> Bytes {
+fn expand(text: &str, number: &str) -> Bytes {
     Bytes::from(text.replace("{n}", number))
 }
 
-fn summarize(way: &Way, index: usize, results: &[StreamResult]) -> WayTimes {
-    let new = || Histogram::<u64>::new(SIGNIFICANT_DIGITS).expect("a constant that the library allows");
+fn summarize(way: &Route, index: usize, results: &[StreamResult]) -> RouteLatency {
+    let new = || Histogram::<u64>::new(SIGNIFICANT_DIGITS).expect("the precision is valid");
     let (mut first_byte, mut whole) = (new(), new());
     for sample in results.iter().flat_map(|result| &result.samples).filter(|sample| sample.way == index) {
         record(&mut first_byte, sample.first_byte);
         record(&mut whole, sample.whole);
     }
     let failed = results.iter().flat_map(|result| &result.failed).filter(|&&failed| failed == index);
-    WayTimes {
+    RouteLatency {
         name: way.name.clone(),
         calls: whole.len(),
         failed: failed.count() as u64,
-        first_byte_p50_ms: at(&first_byte, 0.5),
-        first_byte_p99_ms: at(&first_byte, 0.99),
-        whole_p50_ms: at(&whole, 0.5),
-        whole_p99_ms: at(&whole, 0.99),
+        first_byte_p50_ms: quantile_ms(&first_byte, 0.5),
+        first_byte_p99_ms: quantile_ms(&first_byte, 0.99),
+        whole_p50_ms: quantile_ms(&whole, 0.5),
+        whole_p99_ms: quantile_ms(&whole, 0.99),
     }
 }
 
 fn record(histogram: &mut Histogram<u64>, span: Duration) {
     let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
-    histogram.record(micros).expect("the histogram grows with what it records");
+    histogram.record(micros).expect("the histogram resizes automatically");
 }
 
-fn at(histogram: &Histogram<u64>, quantile: f64) -> f64 {
+fn quantile_ms(histogram: &Histogram<u64>, quantile: f64) -> f64 {
     histogram.value_at_quantile(quantile) as f64 / MICROS_PER_MILLI
 }
--- a/crates/standins/src/load/main.rs
+++ b/crates/standins/src/load/main.rs
@@ -1,23 +1,23 @@
-//! Sends load to daemons and reports what came of it.
+//! Load generator: sends requests to daemons and reports their outcomes.
 
 use std::process::ExitCode;
 
 use gumdrop::Options;
 use hibiscusvale_standins::load::cmd::{Arguments, run};
 
-/// Exit code when the run ended but its findings are not clean.
-const FINDINGS: u8 = 1;
+/// Exit code of a completed run with findings.
+const EXIT_FINDINGS: u8 = 1;
 
-/// Exit code when the run could not be made.
-const FAILED: u8 = 2;
+/// Exit code of a run that could not be completed.
+const EXIT_FAILED: u8 = 2;
 
 fn main() -> ExitCode {
     match run(Arguments::parse_args_default_or_exit()) {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(FINDINGS),
+        Ok(false) => ExitCode::from(EXIT_FINDINGS),
         Err(error) => {
             eprintln!("hibiscusvale-load: {error:#}");
-            ExitCode::from(FAILED)
+            ExitCode::from(EXIT_FAILED)
         }
     }
 }
--- a/crates/standins/src/load/mod.rs
+++ b/crates/standins/src/load/mod.rs
@@ -1,5 +1,5 @@
-//! A small seeded load tool: sends a mixed load, checks each answer, and asks the stand-ins' own accounts
-//! whether what the callers were told is true.
+//! Seeded load generator: sends a mixed load, verifies each answer, and checks the reported outcomes against the
+//! records of the mock servers.
 
 pub mod answer;
 pub mod audit;
@@ -7,8 +7,8 @@
 pub mod caller;
 pub mod cmd;
 pub mod cpu;
+pub mod flow_stats;
 pub mod latency;
 pub mod report;
 pub mod schedule;
 pub mod settings;
-pub mod tally;
--- a/crates/standins/src/load/report.rs
+++ b/crates/standins/src/load/report.rs
@@ -1,4 +1,4 @@
-//! The report of a run: a table for people, the same as JSON.
+//! Report of a run, as a text table and as JSON.
 
 use std::fmt;
 
@@ -6,32 +6,32 @@
 
 use crate::load::audit::{Audit, EngineTotals};
 use crate::load::caller::Record;
+use crate::load::flow_stats::FlowStats;
 use crate::load::settings::LoadPlan;
-use crate::load::tally::Tally;
 
 const PERCENT: f64 = 100.0;
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// Seed of the run.
     pub seed: u64,
-    /// Nothing lost, nothing doubled, nothing held by engines.
+    /// All requests are counted, none is lost or executed twice, and no engine holds a request.
     pub clean: bool,
-    /// One row for each flow.
-    pub rows: Vec<Tally>,
-    /// All engines together.
+    /// One row per flow.
+    pub rows: Vec<FlowStats>,
+    /// Totals over all engines.
     pub engines: EngineTotals,
 }
 
 impl Report {
-    /// Counts the records of a run against the stand-ins' accounts.
+    /// Evaluates the records of a run against the audit of the mock servers.
     pub fn new(plan: &LoadPlan, records: &[Record], audit: &Audit) -> Self {
         let flows = plan.flows.iter().enumerate();
         let rows: Vec<_> = flows
             .map(|(index, flow)| {
                 let of_flow = records.iter().filter(|record| record.planned.flow == index);
-                Tally::count(flow, of_flow, audit)
+                FlowStats::count(flow, of_flow, audit)
             })
             .collect();
         let planned: usize = plan.flows.iter().map(|flow| flow.count).sum();
@@ -92,7 +92,7 @@
         writeln!(
             f,
             "engines: {} held, empty after {} ms; prefill tokens {} read, {} from cache, {} evicted, \
-             {} cancelled, {} imported in vain; {} imports without a slot, {} streams resumed",
+             {} cancelled, {} imported but unused; {} imports rejected without a slot, {} streams resumed",
             engines.held,
             engines.empty_after_ms,
             engines.prefill_tokens,
--- a/crates/standins/src/load/schedule.rs
+++ b/crates/standins/src/load/schedule.rs
@@ -1,4 +1,4 @@
-//! When each request is sent and what it holds, drawn from the seed alone.
+//! Send times and contents of requests, derived only from the seed.
 
 use std::fmt::Write as _;
 use std::time::Duration;
@@ -8,30 +8,30 @@
 
 use crate::load::settings::{Flow, LoadPlan};
 
-/// One planned request.
+/// A planned request.
 #[derive(Clone, Debug)]
-pub struct Planned {
+pub struct PlannedRequest {
     /// Index of its flow in the plan.
     pub flow: usize,
-    /// Names it within the run; also its idempotency key.
+    /// Unique name; also the idempotency key.
     pub name: String,
-    /// When it is sent, from the start of the run.
+    /// Send time, relative to the start of the run.
     pub at: Duration,
-    /// Prompt of a completion, body of a plain call.
+    /// Prompt of a completion, or body of a plain call.
     pub text: String,
-    /// Length of the answer to a completion.
+    /// Answer length of a completion.
     pub answer_tokens: usize,
-    /// When its caller leaves, from its sending; `None` for one who stays.
-    pub leaves_after: Option<Duration>,
-    /// Seed of what the caller draws while it runs: which daemon, how long to back off.
+    /// Time after sending at which the caller disconnects; `None` if it stays connected.
+    pub disconnect_after: Option<Duration>,
+    /// Seed for the caller's choice of daemons and back-off.
     pub seed: u64,
 }
 
-/// Longest time that a leaving caller stays.
-const LEAVING_WITHIN_MS: u64 = 300;
+/// Maximum time after which a leaving caller disconnects.
+const MAX_DISCONNECT_DELAY_MS: u64 = 300;
 
-/// Plans every request of a run, in order of time. `run` tells apart the names of two runs.
-pub fn schedule(plan: &LoadPlan, run: &str) -> Vec<Planned> {
+/// Plans all requests of a run, ordered by send time. `run` prefixes the names, so that runs do not collide.
+pub fn schedule(plan: &LoadPlan, run: &str) -> Vec<PlannedRequest> {
     let mut planned = Vec::new();
     for (flow, settings) in plan.flows.iter().enumerate() {
         let mut rng = StdRng::seed_from_u64(plan.seed.wrapping_add(flow as u64));
@@ -46,28 +46,28 @@
     planned
 }
 
-fn plan_one(rng: &mut StdRng, flow: usize, settings: &Flow, name: String, at: Duration) -> Planned {
+fn plan_one(rng: &mut StdRng, flow: usize, settings: &Flow, name: String, at: Duration) -> PlannedRequest {
     let (least, greatest) = settings.answer_tokens;
-    let leaves = rng.random_bool(settings.leaving_share);
-    let stays_ms = rng.random_range(0..LEAVING_WITHIN_MS);
-    Planned {
+    let disconnects = rng.random_bool(settings.leaving_share);
+    let disconnect_ms = rng.random_range(0..MAX_DISCONNECT_DELAY_MS);
+    PlannedRequest {
         flow,
         text: text(rng, settings, &name),
         name,
         at,
         answer_tokens: rng.random_range(least..=greatest),
-        leaves_after: leaves.then(|| Duration::from_millis(stays_ms)),
+        disconnect_after: disconnects.then(|| Duration::from_millis(disconnect_ms)),
         seed: rng.random(),
     }
 }
 
-/// Time to the next arrival of a Poisson process.
+/// Draws the time to the next arrival of a Poisson process.
 fn next_gap(rng: &mut StdRng, rate_per_s: f64) -> Duration {
     let uniform: f64 = rng.random_range(f64::EPSILON..1.0);
     Duration::from_secs_f64(-uniform.ln() / rate_per_s)
 }
 
-/// A beginning shared with other requests, then words of its own, then its name.
+/// Builds a text from a shared prefix, random letters and the request name.
 fn text(rng: &mut StdRng, settings: &Flow, name: &str) -> String {
     let prefix = rng.random_range(0..settings.prefixes.max(1));
     let mut text = String::new();
--- a/crates/standins/src/load/settings.rs
+++ b/crates/standins/src/load/settings.rs
@@ -1,4 +1,4 @@
-//! What the load tool sends.
+//! Configuration of the load generator.
 
 use std::net::SocketAddr;
 
@@ -8,76 +8,76 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadPlan {
-    /// Seed of everything that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// The daemons; a caller is sent to any of them.
+    /// Daemons that callers are balanced over.
     pub daemons: Vec<Entry>,
-    /// Flows of requests that are alike.
+    /// Request flows.
     pub flows: Vec<Flow>,
 }
 
-/// A daemon as the balancer knows it.
+/// A daemon, as configured in the load balancer.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
-    /// Where callers are served.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Where readiness is told; without it the daemon counts as ready.
+    /// Listen address for operators, probed for readiness; without it the daemon counts as ready.
     pub operators: Option<SocketAddr>,
 }
 
-/// Requests of one class.
+/// Requests with the same class and configuration.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Flow {
-    /// The partner who sends them, as the report names it.
+    /// Partner that sends the requests; shown in the report.
     pub partner: String,
-    /// Its bearer token.
+    /// Bearer token of the partner.
     pub token: String,
-    /// The class of work.
+    /// Service class.
     pub class: String,
-    /// What they ask for.
+    /// Kind of the requests.
     pub kind: FlowKind,
-    /// Mean arrivals in a second; they come whether or not earlier ones were answered.
+    /// Mean arrivals per second, independent of earlier responses (open loop).
     pub rate_per_s: f64,
-    /// How many are sent.
+    /// Number of requests.
     pub count: usize,
-    /// Target for the first token, or for the whole answer of a plain call.
+    /// Target for the first token, or for the complete response of a plain call.
     pub first_token_target_ms: u64,
     /// Target for the mean time between tokens.
     pub per_token_target_ms: u64,
-    /// Calls of one request, the first included.
+    /// Maximum calls per request, including the first.
     pub attempts: usize,
-    /// How long a caller waits for one call to end.
+    /// Timeout of one call.
     pub timeout_ms: u64,
-    /// Model that language requests name.
+    /// Model of completion requests.
     pub model: String,
-    /// Length of the prompt that many requests begin with.
+    /// Length of the shared prompt prefix.
     pub prefix_bytes: usize,
-    /// Number of such beginnings.
+    /// Number of distinct shared prefixes.
     pub prefixes: usize,
-    /// Least and greatest length of a prompt behind its beginning.
+    /// Minimum and maximum prompt length after the prefix.
     pub prompt_bytes: (usize, usize),
-    /// Least and greatest length of an answer.
+    /// Minimum and maximum answer length.
     pub answer_tokens: (usize, usize),
-    /// Share of callers who leave before their answer is whole.
+    /// Share of callers that disconnect early, from 0 to 1.
     pub leaving_share: f64,
     /// Name of the plain service.
     pub service: String,
-    /// Start of the path of plain calls.
+    /// Path of plain calls.
     pub path: String,
 }
 
-/// What the requests of a flow ask for.
+/// Kind of the requests in a flow.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FlowKind {
     /// A streamed completion.
     #[default]
     Completion,
-    /// A plain call that must run at most once, with a key that a second call repeats.
+    /// A plain call that must run at most once; retries reuse the idempotency key.
     Once,
-    /// A plain page that may be read again.
+    /// An idempotent GET of a plain service.
     Page,
 }
 
--- a/crates/standins/src/log.rs
+++ b/crates/standins/src/log.rs
@@ -1,4 +1,4 @@
-//! The stand-in for the platform's append-only log.
+//! Mock of the platform's append-only log.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -16,23 +16,23 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout};
 
-use crate::control::{Faults, Steer};
+use crate::control::{FaultUpdate, Faults};
 use crate::http::{Body, Handler, bad_request, json, not_found, query_number, read_json, serve};
 
 const MILLIS_PER_SECOND: u64 = 1_000;
 const DEFAULT_LIMIT: u64 = 1_000;
 
-/// How a log is built.
+/// Configuration of a log.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogSettings {
-    /// Where it listens; port 0 lets the kernel choose.
+    /// Listen address; port 0 selects a free port.
     pub address: SocketAddr,
-    /// Append calls taken in a second, over all streams.
+    /// Maximum append calls per second over all streams.
     pub appends_per_s: u64,
-    /// How long a record is kept; 0 for ever.
+    /// Record retention; 0 keeps records indefinitely.
     pub retention_ms: u64,
-    /// Most records kept in a stream.
+    /// Maximum number of records per stream.
     pub retention_records: usize,
 }
 
@@ -71,7 +71,7 @@
 }
 
 #[derive(Debug)]
-struct Stored {
+struct StoredRecord {
     data: String,
     at: Instant,
 }
@@ -79,7 +79,7 @@
 #[derive(Debug, Default)]
 struct Stream {
     start_offset: u64,
-    records: VecDeque<Stored>,
+    records: VecDeque<StoredRecord>,
 }
 
 impl Stream {
@@ -99,41 +99,41 @@
     settings: LogSettings,
     streams: Mutex<BTreeMap<String, Stream>>,
     appends: Mutex<VecDeque<Instant>>,
-    taken: Mutex<BTreeMap<String, u64>>,
+    append_counts: Mutex<BTreeMap<String, u64>>,
     changes: watch::Sender<u64>,
 }
 
-/// A stand-in log at one address. Several can share one store, each with failures of its own: a data centre
-/// that is cut off from the log gets an address of its own, and that one is silenced or muted.
+/// A mock log at one address. Several services can share one store, each with its own faults: to partition a data
+/// centre from the log, give it a separate address and inject the fault there.
 #[derive(Debug)]
 pub struct LogService {
     store: Arc<Store>,
     faults: Arc<Faults>,
 }
 
-/// A running log, to inspect and steer.
+/// Handle of a running log.
 #[derive(Clone, Debug)]
 pub struct LogHandle {
-    /// Where it listens.
+    /// Bound address.
     pub address: SocketAddr,
     service: Arc<LogService>,
 }
 
 impl LogHandle {
-    /// Brings about a failure at this address or ends it.
-    pub fn steer(&self, order: &Steer) {
-        self.service.faults.steer(order);
+    /// Applies an update of the injected faults at this address.
+    pub fn update_faults(&self, order: &FaultUpdate) {
+        self.service.faults.update_faults(order);
     }
 
-    /// Append calls taken so far, by stream.
+    /// Number of accepted append calls by stream.
     pub fn appends(&self) -> BTreeMap<String, u64> {
-        self.service.store.taken.lock().clone()
+        self.service.store.append_counts.lock().clone()
     }
 
-    /// Records of a stream that are still kept, with their offsets.
+    /// Retained records of a stream with their offsets.
     ///
     /// # Panics
-    /// Never: only what decodes is stored.
+    /// Never: `append` accepts only valid base64.
     pub fn records(&self, stream: &str) -> Vec<(u64, Vec<u8>)> {
         let page = self.service.store.page(stream, 0, u64::MAX);
         let decoded = page.records.into_iter().map(|record| {
@@ -143,18 +143,18 @@
         decoded.collect()
     }
 
-    /// Forgets the `count` oldest records of a stream, as expiry does.
+    /// Drops the `count` oldest records of a stream, as retention does.
     pub fn expire(&self, stream: &str, count: usize) {
         let mut streams = self.service.store.streams.lock();
         let stream = streams.entry(stream.to_owned()).or_default();
         (0..count).for_each(|_| stream.drop_oldest());
     }
 
-    /// Serves the same records at another address, with failures of its own.
+    /// Serves the same store at another address with independent faults.
     ///
     /// # Errors
     /// The address cannot be bound.
-    pub async fn share(&self, address: SocketAddr) -> io::Result<LogHandle> {
+    pub async fn serve_at(&self, address: SocketAddr) -> io::Result<LogHandle> {
         LogService::serve(Arc::clone(&self.service.store), address).await
     }
 }
@@ -170,7 +170,7 @@
             settings,
             streams: Mutex::default(),
             appends: Mutex::default(),
-            taken: Mutex::default(),
+            append_counts: Mutex::default(),
             changes: watch::Sender::new(0),
         });
         Self::serve(store, address).await
@@ -191,8 +191,8 @@
         if call.records.is_empty() || call.records.iter().any(|data| STANDARD.decode(data).is_err()) {
             return json(StatusCode::BAD_REQUEST, &());
         }
-        if let Err(wait) = self.store.take_append(Instant::now()) {
-            return over_rate(wait);
+        if let Err(wait) = self.store.admit_append(Instant::now()) {
+            return rate_limited(wait);
         }
         let first_offset = self.store.append(stream, call.records);
         json(StatusCode::OK, &AppendAnswer { first_offset })
@@ -203,21 +203,21 @@
         let limit = query_number(request, "limit").unwrap_or(DEFAULT_LIMIT);
         let wait = Duration::from_millis(query_number(request, "wait_ms").unwrap_or_default());
         let mut changes = self.store.changes.subscribe();
-        let news = async {
+        let new_records = async {
             while self.store.page(stream, from, 1).records.is_empty() && changes.changed().await.is_ok() {}
         };
-        // Running out of time is an answer too: no news.
-        let _ = timeout(wait, news).await;
-        if self.faults.is_outage() {
-            return down();
+        // After the timeout the current page is returned, without new records.
+        let _ = timeout(wait, new_records).await;
+        if self.faults.is_unavailable() {
+            return unavailable();
         }
         json(StatusCode::OK, &self.store.page(stream, from, limit))
     }
 }
 
 impl Store {
-    /// Counts an append call against the rate, over a window of one second.
-    fn take_append(&self, now: Instant) -> Result<(), Duration> {
+    /// Admits an append call under a sliding window of one second; otherwise returns the time to wait.
+    fn admit_append(&self, now: Instant) -> Result<(), Duration> {
         let window = Duration::from_secs(1);
         let mut appends = self.appends.lock();
         while appends.front().is_some_and(|at| now - *at >= window) {
@@ -236,9 +236,9 @@
         let mut streams = self.streams.lock();
         let stream = streams.entry(name.to_owned()).or_default();
         let first_offset = stream.next_offset();
-        stream.records.extend(records.into_iter().map(|data| Stored { data, at }));
+        stream.records.extend(records.into_iter().map(|data| StoredRecord { data, at }));
         drop(streams);
-        *self.taken.lock().entry(name.to_owned()).or_default() += 1;
+        *self.append_counts.lock().entry(name.to_owned()).or_default() += 1;
         self.changes.send_modify(|count| *count += 1);
         first_offset
     }
@@ -274,11 +274,11 @@
     }
 }
 
-fn down() -> Response<Body> {
+fn unavailable() -> Response<Body> {
     json(StatusCode::SERVICE_UNAVAILABLE, &())
 }
 
-fn over_rate(wait: Duration) -> Response<Body> {
+fn rate_limited(wait: Duration) -> Response<Body> {
     let wait_ms = u64::try_from(wait.as_millis()).unwrap_or(MILLIS_PER_SECOND) + 1;
     let mut response = json(StatusCode::TOO_MANY_REQUESTS, &());
     response.headers_mut().insert("retry-after-ms", HeaderValue::from(wait_ms));
@@ -289,14 +289,14 @@
     fn handle(self: Arc<Self>, request: Request<Incoming>) -> BoxFuture<'static, Response<Body>> {
         Box::pin(async move {
             if request.uri().path() == "/standin/state" {
-                return json(StatusCode::OK, &*self.store.taken.lock());
+                return json(StatusCode::OK, &*self.store.append_counts.lock());
             }
             let path = request.uri().path().to_owned();
             let Some(rest) = path.strip_prefix("/log/") else {
                 return not_found();
             };
-            if self.faults.is_outage() {
-                return down();
+            if self.faults.is_unavailable() {
+                return unavailable();
             }
             if request.method() == Method::GET {
                 return self.read(rest, &request).await;
--- a/crates/standins/src/plain.rs
+++ b/crates/standins/src/plain.rs
@@ -1,4 +1,4 @@
-//! The stand-in for a plain service, with a ledger of everything that it executed.
+//! Mock plain HTTP service with a ledger of all executions.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -15,20 +15,20 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-use crate::control::{Faults, Steer};
-use crate::http::{Body, Handler, bad_request, json, read_body, serve, whole};
+use crate::control::{FaultUpdate, Faults};
+use crate::http::{Body, Handler, bad_request, json, read_body, serve, with_body};
 
-/// How a plain service instance is built.
+/// Configuration of a plain service instance.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlainSettings {
-    /// Where it listens; port 0 lets the kernel choose.
+    /// Listen address; port 0 selects a free port.
     pub address: SocketAddr,
-    /// Name of the service, repeated in its answers.
+    /// Name of the service, echoed in responses.
     pub service: String,
-    /// Time that one call takes.
+    /// Processing time of a call.
     pub service_time_us: u64,
-    /// Calls at once, as the load report states it.
+    /// Concurrent calls shown as capacity in the load report.
     pub capacity: u64,
 }
 
@@ -43,12 +43,12 @@
     }
 }
 
-/// One execution.
+/// An executed call.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Execution {
-    /// Method of the call.
+    /// HTTP method.
     pub method: String,
-    /// Path and query of the call.
+    /// Path and query.
     pub path: String,
     /// Header `idempotency-key`.
     pub idempotency_key: Option<String>,
@@ -58,14 +58,14 @@
     pub body_hash: String,
 }
 
-/// The answer to an executed call: enough for the caller to see that it is its own.
+/// Response to an executed call; lets the caller verify that it belongs to its request.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct PlainAnswer {
     /// Name of the service.
     pub service: String,
-    /// What was executed.
+    /// The executed call.
     pub execution: Execution,
-    /// Number of the execution in this instance's ledger, from 0.
+    /// Index in the ledger of this instance, from 0.
     pub number: u64,
 }
 
@@ -76,7 +76,7 @@
     capacity: u64,
 }
 
-/// A stand-in plain service instance.
+/// A mock plain service instance.
 #[derive(Debug)]
 pub struct PlainService {
     settings: PlainSettings,
@@ -86,26 +86,26 @@
     changes: watch::Sender<u64>,
 }
 
-/// A running plain service instance, to inspect and steer.
+/// Handle of a running plain service instance.
 #[derive(Clone, Debug)]
 pub struct PlainHandle {
-    /// Where it listens.
+    /// Bound address.
     pub address: SocketAddr,
     service: Arc<PlainService>,
 }
 
 impl PlainHandle {
-    /// Everything that was executed, in order.
+    /// All executed calls, oldest first.
     pub fn ledger(&self) -> Vec<Execution> {
         self.service.ledger.lock().clone()
     }
 
-    /// Brings about a failure or ends it.
-    pub fn steer(&self, order: &Steer) {
-        self.service.faults.steer(order);
+    /// Applies an update of the injected faults.
+    pub fn update_faults(&self, order: &FaultUpdate) {
+        self.service.faults.update_faults(order);
     }
 
-    /// Waits until `count` calls were executed.
+    /// Waits until `count` calls have been executed.
     pub async fn wait_executed(&self, count: usize) {
         let mut changes = self.service.changes.subscribe();
         while self.service.ledger.lock().len() < count && changes.changed().await.is_ok() {}
@@ -132,7 +132,7 @@
 
     async fn execute(&self, request: Request<Incoming>) -> Response<Body> {
         if self.faults.is_leaving() {
-            return leaving();
+            return draining();
         }
         let text = |name: &str| {
             let value = request.headers().get(name)?;
@@ -179,13 +179,13 @@
     }
 }
 
-fn leaving() -> Response<Body> {
-    let mut response = whole(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
+fn draining() -> Response<Body> {
+    let mut response = with_body(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
     response.headers_mut().insert("x-leaving", HeaderValue::from_static("true"));
     response
 }
 
-/// Counts a call as in flight until it is dropped, also when its connection breaks.
+/// Counts a call as in flight until dropped, including when the connection fails.
 struct InFlight(Arc<PlainService>);
 
 impl InFlight {
--- a/crates/standins/src/plan.rs
+++ b/crates/standins/src/plan.rs
@@ -1,4 +1,4 @@
-//! A plan of stand-ins that one process runs, and the addresses that they got.
+//! Plan of the mock servers run by one process, and their bound addresses.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,19 +6,19 @@
 use serde::{Deserialize, Serialize};
 
 use crate::engine::{Engine, EngineHandle, EngineSettings, Role};
-use crate::hosts::{HostEntry, HostList, HostListHandle, HostListSettings, Kind, ListedState};
+use crate::hosts::{HostEntry, HostList, HostListHandle, HostListSettings, HostState, Kind};
 use crate::log::{LogHandle, LogService, LogSettings};
 use crate::plain::{PlainHandle, PlainService, PlainSettings};
 use crate::ports;
 use crate::weights::{WeightHandle, WeightSettings, WeightStore};
 
-/// What one process runs.
+/// Mock servers run by one process.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Plan {
     /// The append-only log.
     pub log: LogSettings,
-    /// The host list; engines and plain instances of the plan are added to it.
+    /// The host list; the plan's engines and plain instances are added to it.
     pub hosts: HostListSettings,
     /// The weight store.
     pub weights: WeightSettings,
@@ -26,55 +26,55 @@
     pub engines: Vec<EngineGroup>,
     /// Groups of plain service instances.
     pub plain: Vec<PlainGroup>,
-    /// Entry hosts whose daemons are started by others on ports that are chosen here.
-    pub entry_hosts: Vec<Place>,
+    /// Entry hosts whose daemons run in other processes; their ports are selected here.
+    pub entry_hosts: Vec<Placement>,
 }
 
-/// Where a group stands and whose it is.
+/// Location and owner of a group of servers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Place {
-    /// Start of the names; a number follows.
+pub struct Placement {
+    /// Name prefix, followed by a number.
     pub name: String,
     /// The data centre.
     pub data_centre: String,
     /// The region.
     pub region: String,
-    /// The partner who brings it.
+    /// Partner that owns the group.
     #[serde(default)]
     pub partner: String,
-    /// How many of them.
-    #[serde(default = "one")]
+    /// Number of servers.
+    #[serde(default = "default_count")]
     pub count: usize,
 }
 
-fn one() -> usize {
+fn default_count() -> usize {
     1
 }
 
-/// Engines that are alike.
+/// A group of engines with the same configuration.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineGroup {
-    /// Where they stand.
-    pub place: Place,
-    /// How they are built.
+    /// Location of the group.
+    pub place: Placement,
+    /// Configuration of each server.
     #[serde(default)]
     pub settings: EngineSettings,
 }
 
-/// Plain service instances that are alike.
+/// A group of plain service instances with the same configuration.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlainGroup {
-    /// Where they stand.
-    pub place: Place,
-    /// How they are built.
+    /// Location of the group.
+    pub place: Placement,
+    /// Configuration of each server.
     #[serde(default)]
     pub settings: PlainSettings,
 }
 
-/// The addresses of everything that runs, as `--addresses` writes them.
+/// Addresses of all running servers, as written by `--addresses`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Addresses {
     /// The log.
@@ -83,14 +83,14 @@
     pub hosts: SocketAddr,
     /// The weight store.
     pub weights: SocketAddr,
-    /// Engines and plain instances, as the host list shows them.
+    /// Engines and plain instances, as in the host list.
     pub backend_servers: Vec<HostEntry>,
-    /// Addresses set aside for daemons.
+    /// Addresses reserved for daemons.
     #[serde(default)]
     pub entry_hosts: Vec<EntryHost>,
 }
 
-/// Addresses set aside for one daemon.
+/// Addresses reserved for one daemon.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct EntryHost {
     /// Name of the host.
@@ -99,37 +99,37 @@
     pub data_centre: String,
     /// Its region.
     pub region: String,
-    /// For callers.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// For other daemons.
+    /// Listen address for other daemons.
     pub peers: SocketAddr,
-    /// For operators.
+    /// Listen address for operators.
     pub operators: SocketAddr,
 }
 
-/// Everything that runs.
+/// Handles of all running servers.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunningPlan {
     /// The log.
     pub log: LogHandle,
     /// The host list.
     pub hosts: HostListHandle,
     /// The weight store.
     pub weights: WeightHandle,
-    /// The engines by name.
+    /// Engines with their names.
     pub engines: Vec<(String, EngineHandle)>,
-    /// The plain instances by name.
+    /// Plain instances with their names.
     pub plain: Vec<(String, PlainHandle)>,
-    /// Their addresses.
+    /// Addresses of the servers.
     pub addresses: Addresses,
 }
 
 impl Plan {
-    /// Starts everything in the plan.
+    /// Starts all servers of the plan.
     ///
     /// # Errors
     /// An address cannot be bound.
-    pub async fn start(self) -> io::Result<Running> {
+    pub async fn start(self) -> io::Result<RunningPlan> {
         let log = LogService::start(self.log).await?;
         let weights = WeightStore::start(self.weights).await?;
         let mut entries = Vec::new();
@@ -165,11 +165,11 @@
             backend_servers: entries,
             entry_hosts,
         };
-        Ok(Running { log, hosts, weights, engines, plain, addresses })
+        Ok(RunningPlan { log, hosts, weights, engines, plain, addresses })
     }
 }
 
-fn reserve_entry_hosts(places: &[Place]) -> io::Result<Vec<EntryHost>> {
+fn reserve_entry_hosts(places: &[Placement]) -> io::Result<Vec<EntryHost>> {
     let mut hosts = Vec::new();
     for place in places {
         for number in 0..place.count {
@@ -196,7 +196,7 @@
             data_centre: self.data_centre.clone(),
             region: self.region.clone(),
             partner: None,
-            state: ListedState::Live,
+            state: HostState::Live,
             service: None,
             models: Vec::new(),
             role: None,
@@ -229,7 +229,7 @@
     format!("{}={address}\n", name.to_uppercase().replace('-', "_"))
 }
 
-impl Place {
+impl Placement {
     fn entry(&self, number: usize, kind: Kind, address: SocketAddr) -> HostEntry {
         HostEntry {
             id: format!("{}-{number}", self.name),
@@ -239,7 +239,7 @@
             data_centre: self.data_centre.clone(),
             region: self.region.clone(),
             partner: Some(self.partner.clone()),
-            state: ListedState::Live,
+            state: HostState::Live,
             service: None,
             models: Vec::new(),
             role: None,
--- a/crates/standins/src/slopes/cmd.rs
+++ b/crates/standins/src/slopes/cmd.rs
@@ -1,4 +1,4 @@
-//! The subcommands.
+//! Subcommands.
 
 use std::path::PathBuf;
 
@@ -7,10 +7,10 @@
 
 use crate::{plot, procs, virtual_time, watch};
 
-/// What to measure.
+/// Command-line arguments.
 #[derive(Debug, Options)]
 pub struct Arguments {
-    #[options(help = "show this text")]
+    #[options(help = "print this help")]
     help: bool,
     #[options(command)]
     command: Option<Command>,
@@ -20,21 +20,21 @@
 enum Command {
     #[options(help = "measure state machines on a virtual clock")]
     Virtual(Virtual),
-    #[options(help = "choose addresses and write the plan of the stand-ins")]
+    #[options(help = "choose addresses and write the plan of the mock servers")]
     Plan(procs::Plan),
     #[options(help = "write the settings of the daemons")]
     Settings(procs::Settings),
     #[options(help = "measure running daemons")]
     Steady(watch::Steady),
-    #[options(help = "wait until a killed daemon is gone from all views")]
+    #[options(help = "wait until a killed daemon is removed from all member lists")]
     Death(watch::Death),
-    #[options(help = "draw the CSV of real daemons and fit its slopes")]
+    #[options(help = "plot the CSV of real daemons and fit lines")]
     Draw(plot::Draw),
 }
 
 #[derive(Debug, Options)]
 struct Virtual {
-    #[options(help = "show this text")]
+    #[options(help = "print this help")]
     help: bool,
     #[options(help = "directory for the CSV and the plot", required)]
     out: PathBuf,
@@ -59,7 +59,7 @@
 
 impl Virtual {
     fn run(self) -> anyhow::Result<()> {
-        std::fs::create_dir_all(&self.out).context("could not make the output directory")?;
+        std::fs::create_dir_all(&self.out).context("could not create the output directory")?;
         let rows = virtual_time::measure(self.small);
         let path = self.out.join("slopes-virtual.csv");
         std::fs::write(&path, virtual_time::csv(&rows)).context("could not write the CSV")?;
--- a/crates/standins/src/slopes/fit.rs
+++ b/crates/standins/src/slopes/fit.rs
@@ -1,16 +1,16 @@
-//! Straight lines through measured points.
+//! Linear regression.
 
 /// A straight line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
-    /// Value at zero.
+    /// Intercept.
     pub base: f64,
-    /// Growth by one step of the abscissa.
+    /// Change of the value per unit of x.
     pub slope: f64,
 }
 
 impl Line {
-    /// The line with the least squares of errors; flat through the mean where the points do not differ.
+    /// Fits a line by least squares; constant at the mean if all x are equal.
     pub fn through(points: &[(f64, f64)]) -> Self {
         let count = points.len().max(1) as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
@@ -21,7 +21,7 @@
         Self { base: mean_y - slope * mean_x, slope }
     }
 
-    /// The value at `x`.
+    /// Returns the value at `x`.
     pub fn at(self, x: f64) -> f64 {
         self.base + self.slope * x
     }
--- a/crates/standins/src/slopes/main.rs
+++ b/crates/standins/src/slopes/main.rs
@@ -1,10 +1,10 @@
-//! Measures how the cost of control grows with the number of daemons: as state machines on a virtual clock,
-//! and as real processes that `scripts/bench-slopes` starts.
+//! Measures how the control-plane cost scales with the number of daemons: as state machines on a virtual clock, and
+//! as real processes started by `scripts/bench-slopes`.
 
 mod cmd;
 mod fit;
 #[path = "../../../core/tests/nodes/harness.rs"]
-#[expect(dead_code, reason = "the tests of the state machines use the rest")]
+#[expect(dead_code, reason = "other parts are used only by the state machine tests")]
 mod harness;
 mod plot;
 mod procs;
--- a/crates/standins/src/slopes/plot.rs
+++ b/crates/standins/src/slopes/plot.rs
@@ -1,4 +1,4 @@
-//! Plots of what was measured.
+//! Plots of the measurements.
 
 use std::path::{Path, PathBuf};
 
@@ -10,19 +10,19 @@
 use crate::virtual_time::Row;
 
 const SIZE: (u32, u32) = (760, 480);
-/// Bytes a second that control may send.
+/// Budget of control traffic sent by one daemon, in bytes per second.
 const BUDGET: f64 = 4_096.0;
 
-/// A line of a plot.
+/// A data series of a plot.
 #[derive(Clone, Debug)]
 pub struct Series {
-    /// Its name in the legend.
+    /// Name in the legend.
     pub name: String,
-    /// Its points.
+    /// Data points (x, y).
     pub points: Vec<(f64, f64)>,
 }
 
-/// Bytes a second against daemons.
+/// Plots bytes sent per second against the number of daemons.
 pub fn virtual_rows(rows: &[Row], path: &Path) -> anyhow::Result<()> {
     let points = |filter: fn(&Row) -> bool, value: fn(&Row) -> f64| {
         rows.iter()
@@ -40,16 +40,16 @@
             points: points(|row| row.hosts == 35, |row| row.mean_bytes_per_s),
         },
         Series {
-            name: "data centres of 35, most".to_owned(),
+            name: "data centres of 35, maximum".to_owned(),
             points: points(|row| row.hosts == 35, |row| row.max_bytes_per_s),
         },
     ];
     draw("bytes/s sent for control by one daemon", &series, Some(BUDGET), path)
 }
 
-/// Draws lines against the number of daemons.
+/// Plots `series` against the number of daemons.
 pub fn draw(title: &str, series: &[Series], budget: Option<f64>, path: &Path) -> anyhow::Result<()> {
-    draw_with(title, series, budget, path).map_err(|error| anyhow!("could not draw {title:?}: {error}"))
+    draw_with(title, series, budget, path).map_err(|error| anyhow!("could not plot {title:?}: {error}"))
 }
 
 fn draw_with(
@@ -95,10 +95,10 @@
     Ok(())
 }
 
-/// Draws the CSV of real daemons and fits its slopes.
+/// Plots the CSV of real daemons and fits lines to its columns.
 #[derive(Debug, Options)]
 pub struct Draw {
-    #[options(help = "show this text")]
+    #[options(help = "print this help")]
     help: bool,
     #[options(help = "CSV of real daemons", required)]
     csv: PathBuf,
@@ -106,13 +106,13 @@
     out: PathBuf,
 }
 
-/// Columns of the CSV that are drawn and fitted, by their names.
+/// CSV columns to fit.
 const COLUMNS: [&str; 4] = ["sent_mean_bytes_per_s", "control_ppm", "memory_bytes", "in_force_max_ms"];
-/// Daemons of the target in one data centre.
+/// Target number of daemons per data centre.
 const TARGET_HOSTS: f64 = 35.0;
 
 impl Draw {
-    /// Writes the plot of bytes sent and prints a line for each column.
+    /// Writes the plot of bytes sent and prints the fitted line of each column.
     pub fn run(self) -> anyhow::Result<()> {
         let text = std::fs::read_to_string(&self.csv).context("could not read the CSV")?;
         let mut lines = text.lines();
--- a/crates/standins/src/slopes/procs.rs
+++ b/crates/standins/src/slopes/procs.rs
@@ -1,5 +1,4 @@
-//! Real daemon processes, started and ended by `scripts/bench-slopes`: their settings, what they cost, and how
-//! fast they act together.
+//! Settings and resource usage of the daemon processes that `scripts/bench-slopes` starts and stops.
 
 use std::fmt::Write as _;
 use std::fs;
@@ -12,34 +11,34 @@
 use serde::{Deserialize, Serialize};
 
 const BYTES_PER_KIB: u64 = 1_024;
-/// Listeners of one daemon: callers, peers, operators.
+/// Listeners per daemon: callers, peers, operators.
 const LISTENERS: usize = 3;
-/// Ports that the kernel does not give to outgoing connections on an ordinary Linux host.
+/// Ports below the default ephemeral port range of Linux.
 const PORTS: std::ops::Range<u16> = 12_000..32_000;
 const PEER_KEY: &str = "0f0f0f0f0f0f0f0f0f0f0f0f0f0f0f0f0f0f0f0f0f0f0f0f0f0f0f0f0f0f0f0f";
-/// Seed of the key that the published changes are signed with; worth nothing outside this bench.
+/// Seed of the signing key of the published changes; used only by this benchmark.
 pub const PUBLISH_SEED: [u8; 32] = [7; 32];
-/// The partner whose changes are published.
+/// Partner that publishes the changes.
 pub const PARTNER: &str = "bench";
 
-/// One daemon to be started.
+/// A daemon to start.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Planned {
-    /// Its host.
+pub struct PlannedDaemon {
+    /// Name of the host.
     pub host: String,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: String,
-    /// Where it serves callers.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Where it takes messages of other daemons.
+    /// Listen address for other daemons.
     pub peers: SocketAddr,
-    /// Where it serves operators.
+    /// Listen address for operators.
     pub operators: SocketAddr,
-    /// Whether the log is within its reach.
+    /// Whether the daemon can connect to the log.
     pub reaches_log: bool,
 }
 
-/// Anonymous resident memory of a process.
+/// Returns the anonymous resident memory of a process; 0 if it cannot be read.
 pub fn memory_bytes(process: &str) -> u64 {
     let status = fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
     let kib: u64 = status
@@ -50,8 +49,8 @@
     kib * BYTES_PER_KIB
 }
 
-/// Processor time of the control threads of a process, and of all its threads, in microseconds.
-pub fn processor_us(process: &str) -> (f64, f64) {
+/// Returns the CPU time of the control threads and of all threads of a process, in microseconds.
+pub fn cpu_time_us(process: &str) -> (f64, f64) {
     let Ok(tasks) = fs::read_dir(format!("/proc/{process}/task")) else {
         return (0.0, 0.0);
     };
@@ -73,10 +72,10 @@
     (control, all)
 }
 
-/// Chooses addresses and writes the plan of the stand-ins.
+/// Chooses addresses and writes the plan of the mock servers.
 #[derive(Debug, Options)]
 pub struct Plan {
-    #[options(help = "show this text")]
+    #[options(help = "print this help")]
     help: bool,
     #[options(help = "directory for all files", required)]
     dir: PathBuf,
@@ -86,14 +85,14 @@
     data_centres: usize,
     #[options(help = "engines in each data centre", default = "4")]
     replicas: usize,
-    #[options(help = "keep the log out of reach of every second daemon")]
+    #[options(help = "make the log unreachable for every second daemon")]
     half_without_log: bool,
 }
 
 impl Plan {
     /// Writes `plan.toml` and `daemons.json`.
     pub fn run(self) -> anyhow::Result<()> {
-        fs::create_dir_all(&self.dir).context("could not make the directory")?;
+        fs::create_dir_all(&self.dir).context("could not create the directory")?;
         let daemons = self.choose_addresses()?;
         fs::write(self.dir.join("plan.toml"), self.stand_ins(&daemons))
             .context("could not write the plan")?;
@@ -101,9 +100,9 @@
             .context("could not write the daemons")
     }
 
-    /// Chooses free ports below those that the kernel gives to outgoing connections: one of those could be taken
-    /// by a daemon that starts earlier. All are held until all are chosen, so that none is given twice.
-    fn choose_addresses(&self) -> anyhow::Result<Vec<Planned>> {
+    /// Chooses free ports below the ephemeral range, where an outgoing connection of a daemon that starts earlier could
+    /// take one. All ports stay bound until the selection is complete, so that none is chosen twice.
+    fn choose_addresses(&self) -> anyhow::Result<Vec<PlannedDaemon>> {
         let wanted = self.daemons * LISTENERS;
         let start =
             u16::try_from(std::process::id() % u32::from(PORTS.end - PORTS.start)).unwrap_or_default();
@@ -122,7 +121,7 @@
             let [callers, peers, operators] = *chunk else {
                 return None;
             };
-            Some(Planned {
+            Some(PlannedDaemon {
                 host: format!("entry-{number:03}"),
                 data_centre: format!("dc{:02}", number % self.data_centres),
                 callers,
@@ -134,7 +133,7 @@
         Ok(planned.collect())
     }
 
-    fn stand_ins(&self, daemons: &[Planned]) -> String {
+    fn stand_ins(&self, daemons: &[PlannedDaemon]) -> String {
         let mut text = String::new();
         for daemon in daemons {
             let _ = writeln!(
@@ -156,41 +155,42 @@
     }
 }
 
-/// Writes the settings of the daemons, once the stand-ins run.
+/// Writes the settings of the daemons; the mock servers must be running.
 #[derive(Debug, Options)]
 pub struct Settings {
-    #[options(help = "show this text")]
+    #[options(help = "print this help")]
     help: bool,
-    #[options(help = "directory of the plan, with the addresses of the stand-ins", required)]
+    #[options(help = "directory of the plan, with the addresses of the mock servers", required)]
     dir: PathBuf,
 }
 
-/// The daemons that were planned in `dir`.
-pub fn planned(dir: &Path) -> anyhow::Result<Vec<Planned>> {
+/// Reads the planned daemons from `dir`.
+pub fn planned(dir: &Path) -> anyhow::Result<Vec<PlannedDaemon>> {
     let bytes = fs::read(dir.join("daemons.json")).context("could not read the daemons")?;
     Ok(serde_json::from_slice(&bytes)?)
 }
 
-/// The addresses of the stand-ins that serve `dir`.
+/// Reads the addresses of the mock servers from `dir`.
 pub fn stand_ins(dir: &Path) -> anyhow::Result<Addresses> {
-    let bytes = fs::read(dir.join("addresses.json")).context("could not read the stand-ins' addresses")?;
+    let bytes =
+        fs::read(dir.join("addresses.json")).context("could not read the addresses of the mock servers")?;
     Ok(serde_json::from_slice(&bytes)?)
 }
 
 impl Settings {
-    /// Writes one file for each daemon.
+    /// Writes one settings file per daemon.
     pub fn run(self) -> anyhow::Result<()> {
         let daemons = planned(&self.dir)?;
         let addresses = stand_ins(&self.dir)?;
         let key = ed25519_dalek::SigningKey::from_bytes(&PUBLISH_SEED).verifying_key();
         let publish_key = blake3::Hash::from_bytes(key.to_bytes()).to_hex();
-        // Nothing listens there: a connection is refused as by a platform that is out of reach.
-        let nowhere = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?.local_addr()?;
-        ensure!(!daemons.is_empty(), "no daemon is planned");
+        // Nothing listens on this port, so connections are refused as by an unreachable platform.
+        let unreachable = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?.local_addr()?;
+        ensure!(!daemons.is_empty(), "the plan contains no daemons");
         let seeds: Vec<String> =
             daemons.iter().take(2).map(|daemon| format!("\"{}\"", daemon.peers)).collect();
         for daemon in &daemons {
-            let log = if daemon.reaches_log { addresses.log } else { nowhere };
+            let log = if daemon.reaches_log { addresses.log } else { unreachable };
             let text = format!(
                 "[host]\nid = \"{}\"\ndata_centre = \"{}\"\nregion = \"region\"\n\n\
                  [listen]\ncallers = \"{}\"\npeers = \"{}\"\noperators = \"{}\"\n\n\
--- a/crates/standins/src/slopes/watch.rs
+++ b/crates/standins/src/slopes/watch.rs
@@ -1,4 +1,4 @@
-//! Looks at running daemons from outside: what they cost by the kernel's books, what they say of themselves.
+//! Measures running daemons from outside, through `/proc` and their operator endpoints.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -16,22 +16,22 @@
 use hibiscusvale_standins::client::{get_json, post_json};
 use serde::{Deserialize, Serialize};
 
-use crate::procs::{PARTNER, PUBLISH_SEED, Planned, memory_bytes, planned, processor_us, stand_ins};
+use crate::procs::{PARTNER, PUBLISH_SEED, PlannedDaemon, cpu_time_us, memory_bytes, planned, stand_ins};
 
-/// Time between two looks while waiting for a change to be in force.
-const LOOK_EVERY: Duration = Duration::from_millis(25);
-/// Time between two looks at whom all daemons see: with many daemons these are megabytes.
-const LOOK_AT_MEMBERS_EVERY: Duration = Duration::from_millis(250);
-/// Time for the daemons to find each other.
-const AGREE_LIMIT: Duration = Duration::from_mins(2);
-/// Time for a change to be in force everywhere: the users' bound.
-const IN_FORCE_LIMIT: Duration = Duration::from_secs(5);
-/// Time for a dead daemon to be gone from all views: the bound in `docs/MEMBERSHIP.md` without the time of a
-/// grant.
-const DEATH_LIMIT: Duration = Duration::from_secs(14);
+/// Poll interval while waiting for a change to be in force.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Poll interval of the member lists; with many daemons each poll transfers megabytes.
+const MEMBERS_POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Timeout for the daemons to discover each other.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_mins(2);
+/// Timeout for a change to be in force on all daemons: the bound that users require.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout for a dead daemon to be removed from all member lists: the bound in `docs/MEMBERSHIP.md` without the
+/// duration of a grant.
+const DEATH_DETECTION_TIMEOUT: Duration = Duration::from_secs(14);
 const CHANGES: u64 = 10;
-/// Time between two changes: 65,000 a day.
-const CHANGE_EVERY: Duration = Duration::from_millis(1_330);
+/// 65,000 changes per day: one every 1.33 s.
+const CHANGE_INTERVAL: Duration = Duration::from_millis(1_330);
 
 #[derive(Debug, Deserialize)]
 struct Status {
@@ -66,13 +66,16 @@
 }
 
 fn runtime() -> anyhow::Result<tokio::runtime::Runtime> {
-    tokio::runtime::Builder::new_current_thread().enable_all().build().context("could not start the runtime")
+    tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .context("could not start the Tokio runtime")
 }
 
-/// Measures daemons that run and publishes changes to them.
+/// Measures running daemons while publishing changes.
 #[derive(Debug, Options)]
 pub struct Steady {
-    #[options(help = "show this text")]
+    #[options(help = "print this help")]
     help: bool,
     #[options(help = "directory of the plan", required)]
     dir: PathBuf,
@@ -80,16 +83,16 @@
     seconds: u64,
 }
 
-/// Waits until a killed daemon is gone from all views.
+/// Waits until a killed daemon is removed from all member lists.
 #[derive(Debug, Options)]
 pub struct Death {
-    #[options(help = "show this text")]
+    #[options(help = "print this help")]
     help: bool,
     #[options(help = "directory of the plan", required)]
     dir: PathBuf,
     #[options(help = "host of the killed daemon", required)]
     host: String,
-    #[options(help = "when it was killed, in ms since 1970", required)]
+    #[options(help = "time of the kill in Unix milliseconds", required)]
     since_ms: u64,
 }
 
@@ -102,39 +105,43 @@
     async fn measure(self) -> anyhow::Result<()> {
         let daemons = planned(&self.dir)?;
         let pids = pids(&self.dir, &daemons)?;
-        let agreed = wait_until(AGREE_LIMIT, LOOK_AT_MEMBERS_EVERY, || agrees(&daemons)).await;
-        let Some(agreed) = agreed else {
-            bail!("the daemons did not find each other: {}", sights(&daemons).await);
+        let converged =
+            wait_until(CONVERGENCE_TIMEOUT, MEMBERS_POLL_INTERVAL, || has_converged(&daemons)).await;
+        let Some(converged) = converged else {
+            bail!(
+                "the daemons did not discover each other; members seen per daemon: {}",
+                member_counts(&daemons).await
+            );
         };
-        let cost = self.cost(&daemons, &pids).await?;
-        let mut times = publish(&self.dir, &daemons, cost.version).await?;
+        let usage = self.usage(&daemons, &pids).await?;
+        let mut times = publish(&self.dir, &daemons, usage.version).await?;
         times.sort_unstable();
         println!(
             "{},{},{:.0},{:.0},{:.0},{:.0},{},{}",
-            agreed.as_millis(),
-            cost.sent_mean,
-            cost.sent_max,
-            cost.control_ppm,
-            cost.all_ppm,
-            cost.memory_bytes,
+            converged.as_millis(),
+            usage.sent_mean,
+            usage.sent_max,
+            usage.control_ppm,
+            usage.all_threads_ppm,
+            usage.memory_bytes,
             times.get(times.len() / 2).copied().unwrap_or_default(),
             times.last().copied().unwrap_or_default(),
         );
         Ok(())
     }
 
-    /// What the daemons cost while changes are published at the target's rate. They are not asked anything
-    /// meanwhile, so that answering does not count.
-    async fn cost(&self, daemons: &[Planned], pids: &[String]) -> anyhow::Result<Cost> {
-        let before: Vec<(f64, f64)> = pids.iter().map(|pid| processor_us(pid)).collect();
+    /// Measures the daemons while changes are published at the target rate. No endpoint is queried meanwhile, so that
+    /// serving queries does not add to the cost.
+    async fn usage(&self, daemons: &[PlannedDaemon], pids: &[String]) -> anyhow::Result<ResourceUsage> {
+        let before: Vec<(f64, f64)> = pids.iter().map(|pid| cpu_time_us(pid)).collect();
         let start = Instant::now();
         let mut version = None;
         while start.elapsed() < Duration::from_secs(self.seconds) {
             version = Some(append(&self.dir, version).await?);
-            tokio::time::sleep(CHANGE_EVERY).await;
+            tokio::time::sleep(CHANGE_INTERVAL).await;
         }
         let span_s = start.elapsed().as_secs_f64();
-        let after: Vec<(f64, f64)> = pids.iter().map(|pid| processor_us(pid)).collect();
+        let after: Vec<(f64, f64)> = pids.iter().map(|pid| cpu_time_us(pid)).collect();
         let count = pids.len() as f64;
         let pairs = || before.iter().zip(&after);
         let sent: Vec<u64> = statuses(daemons)
@@ -144,11 +151,11 @@
             .map(|status| status.control.sent_bytes_per_s)
             .collect();
         let memory: u64 = pids.iter().map(|pid| memory_bytes(pid)).sum();
-        Ok(Cost {
+        Ok(ResourceUsage {
             sent_mean: sent.iter().sum::<u64>() / sent.len().max(1) as u64,
             sent_max: sent.iter().copied().max().unwrap_or_default() as f64,
             control_ppm: pairs().map(|(before, after)| after.0 - before.0).sum::<f64>() / span_s / count,
-            all_ppm: pairs().map(|(before, after)| after.1 - before.1).sum::<f64>() / span_s / count,
+            all_threads_ppm: pairs().map(|(before, after)| after.1 - before.1).sum::<f64>() / span_s / count,
             memory_bytes: memory as f64 / count,
             version,
         })
@@ -156,23 +163,25 @@
 }
 
 #[derive(Debug)]
-struct Cost {
+struct ResourceUsage {
     sent_mean: u64,
     sent_max: f64,
     control_ppm: f64,
-    all_ppm: f64,
+    all_threads_ppm: f64,
     memory_bytes: f64,
     version: Option<Offset>,
 }
 
 impl Death {
-    /// Prints the last field of a CSV row: the time until nobody sees the daemon.
+    /// Prints the last field of a CSV row: the milliseconds until no daemon lists the killed one.
     pub fn run(self) -> anyhow::Result<()> {
         runtime()?.block_on(async {
-            let daemons: Vec<Planned> =
+            let daemons: Vec<PlannedDaemon> =
                 planned(&self.dir)?.into_iter().filter(|daemon| daemon.host != self.host).collect();
-            let gone = wait_until(DEATH_LIMIT, LOOK_AT_MEMBERS_EVERY, || is_gone(&daemons, &self.host)).await;
-            gone.context("the death was not noticed everywhere")?;
+            let gone =
+                wait_until(DEATH_DETECTION_TIMEOUT, MEMBERS_POLL_INTERVAL, || is_gone(&daemons, &self.host))
+                    .await;
+            gone.context("the killed daemon is still in a member list")?;
             let now_ms = SystemTime::now().duration_since(UNIX_EPOCH)?.as_millis();
             println!("{}", now_ms.saturating_sub(u128::from(self.since_ms)));
             Ok(())
@@ -180,7 +189,7 @@
     }
 }
 
-fn pids(dir: &Path, daemons: &[Planned]) -> anyhow::Result<Vec<String>> {
+fn pids(dir: &Path, daemons: &[PlannedDaemon]) -> anyhow::Result<Vec<String>> {
     let read = daemons.iter().map(|daemon| {
         let text = fs::read_to_string(dir.join(format!("{}.pid", daemon.host)))?;
         Ok(text.trim().to_owned())
@@ -188,40 +197,44 @@
     read.collect()
 }
 
-/// Looks until something is so; returns how long it took.
-async fn wait_until<Look, Looking>(limit: Duration, every: Duration, look: Look) -> Option<Duration>
+/// Polls until `condition` returns true; returns the elapsed time, or `None` after `limit`.
+async fn wait_until<Condition, Checking>(
+    limit: Duration,
+    interval: Duration,
+    condition: Condition,
+) -> Option<Duration>
 where
-    Look: Fn() -> Looking,
-    Looking: Future<Output = bool>,
+    Condition: Fn() -> Checking,
+    Checking: Future<Output = bool>,
 {
     let start = Instant::now();
     while start.elapsed() < limit {
-        if look().await {
+        if condition().await {
             return Some(start.elapsed());
         }
-        tokio::time::sleep(every).await;
+        tokio::time::sleep(interval).await;
     }
     None
 }
 
-async fn members(daemons: &[Planned]) -> Vec<Option<Members>> {
+async fn members(daemons: &[PlannedDaemon]) -> Vec<Option<Members>> {
     join_all(daemons.iter().map(async |daemon| get_json(daemon.operators, "/control/members").await.ok()))
         .await
 }
 
-async fn statuses(daemons: &[Planned]) -> Vec<Option<Status>> {
+async fn statuses(daemons: &[PlannedDaemon]) -> Vec<Option<Status>> {
     join_all(daemons.iter().map(async |daemon| get_json(daemon.operators, "/control/status").await.ok()))
         .await
 }
 
-async fn agrees(daemons: &[Planned]) -> bool {
+async fn has_converged(daemons: &[PlannedDaemon]) -> bool {
     members(daemons).await.iter().all(|members| {
         members.as_ref().is_some_and(|members| members.is_heard && members.members.len() == daemons.len())
     })
 }
 
-/// How many daemons each sees, for the message of a failure.
-async fn sights(daemons: &[Planned]) -> String {
+/// Formats the number of members that each daemon sees, for error messages.
+async fn member_counts(daemons: &[PlannedDaemon]) -> String {
     let seen = members(daemons).await.into_iter().map(|members| match members {
         Some(members) => format!("{}{}", members.members.len(), if members.is_heard { "" } else { "!" }),
         None => "-".to_owned(),
@@ -229,33 +242,37 @@
     seen.collect::<Vec<_>>().join(" ")
 }
 
-async fn is_gone(daemons: &[Planned], host: &str) -> bool {
+async fn is_gone(daemons: &[PlannedDaemon], host: &str) -> bool {
     members(daemons).await.iter().all(|members| {
         members.as_ref().is_some_and(|members| members.members.iter().all(|member| member.host != host))
     })
 }
 
-/// Publishes changes one after the other and returns the milliseconds until each was in force everywhere.
-async fn publish(dir: &Path, daemons: &[Planned], mut version: Option<Offset>) -> anyhow::Result<Vec<u128>> {
+/// Publishes changes one at a time and returns the milliseconds until each was in force on all daemons.
+async fn publish(
+    dir: &Path,
+    daemons: &[PlannedDaemon],
+    mut version: Option<Offset>,
+) -> anyhow::Result<Vec<u128>> {
     let mut times = Vec::new();
     for _ in 0..CHANGES {
         let start = Instant::now();
         let offset = append(dir, version).await?;
-        let took = wait_until(IN_FORCE_LIMIT, LOOK_EVERY, async || {
+        let took = wait_until(IN_FORCE_TIMEOUT, POLL_INTERVAL, async || {
             let all = statuses(daemons).await;
             all.iter().all(|status| status.as_ref().is_some_and(|status| status.next_offset > offset))
         });
         let Some(_) = took.await else {
-            bail!("change {offset} was not in force everywhere in {IN_FORCE_LIMIT:?}");
+            bail!("change {offset} was not in force on all daemons within {IN_FORCE_TIMEOUT:?}");
         };
         times.push(start.elapsed().as_millis());
         version = Some(offset);
-        tokio::time::sleep(CHANGE_EVERY).await;
+        tokio::time::sleep(CHANGE_INTERVAL).await;
     }
     Ok(times)
 }
 
-/// Appends a signed change of one class.
+/// Appends a signed change that publishes one class.
 async fn append(dir: &Path, made_from: Option<Offset>) -> anyhow::Result<Offset> {
     let publisher: PartnerId = PARTNER.parse()?;
     let made_at = SystemTime::now().duration_since(UNIX_EPOCH)?;
--- a/crates/standins/src/text.rs
+++ b/crates/standins/src/text.rs
@@ -1,5 +1,5 @@
-//! The text that engines write: a function of the text so far, so that anyone can recompute an answer and
-//! an engine that is given prompt and tokens so far goes on as the first one would have.
+//! Deterministic token generator. Each token is a function of the preceding text, so tests can recompute an answer,
+//! and an engine that resumes from the prompt and partial output continues with identical tokens.
 
 use std::fmt::Write as _;
 
@@ -12,45 +12,45 @@
 const LETTERS: u8 = 26;
 const HASH_BYTES: usize = 8;
 
-/// Tokens in `text`.
+/// Number of tokens in `text`, rounded up.
 pub fn token_count(text: &str) -> u64 {
     text.len().div_ceil(TOKEN_BYTES) as u64
 }
 
-/// Writes the continuation of a prompt token by token.
+/// Generates the continuation of a prompt token by token.
 #[derive(Clone, Debug)]
-pub struct Writer {
-    so_far: blake3::Hasher,
+pub struct TokenGenerator {
+    hasher: blake3::Hasher,
 }
 
-impl Writer {
-    /// Starts behind `prompt`.
+impl TokenGenerator {
+    /// Creates a generator that continues `prompt`.
     pub fn new(prompt: &str) -> Self {
-        let mut so_far = blake3::Hasher::new();
-        so_far.update(prompt.as_bytes());
-        Self { so_far }
+        let mut hasher = blake3::Hasher::new();
+        hasher.update(prompt.as_bytes());
+        Self { hasher }
     }
 
-    /// The next token: a space and three letters.
+    /// Returns the next token: a space and three letters.
     pub fn next_token(&mut self) -> String {
-        let hash = self.so_far.finalize();
+        let hash = self.hasher.finalize();
         let mut token = String::with_capacity(TOKEN_BYTES);
         token.push(' ');
         for byte in &hash.as_bytes()[..TOKEN_BYTES - 1] {
             token.push(char::from(b'a' + byte % LETTERS));
         }
-        self.so_far.update(token.as_bytes());
+        self.hasher.update(token.as_bytes());
         token
     }
 }
 
-/// The first `tokens` tokens that follow `prompt`.
+/// Returns the first `tokens` tokens that follow `prompt`.
 pub fn expected_answer(prompt: &str, tokens: usize) -> String {
-    let mut writer = Writer::new(prompt);
-    (0..tokens).map(|_| writer.next_token()).collect()
+    let mut generator = TokenGenerator::new(prompt);
+    (0..tokens).map(|_| generator.next_token()).collect()
 }
 
-/// Hashes of the whole prefix blocks of `prompt`, as `docs/INTERFACES.md` states them.
+/// Hashes of the complete prefix blocks of `prompt`, as specified in `docs/INTERFACES.md`.
 pub fn prefix_blocks(prompt: &str) -> Vec<String> {
     let bytes = prompt.as_bytes();
     let mut hasher = blake3::Hasher::new();
--- a/crates/standins/src/weights.rs
+++ b/crates/standins/src/weights.rs
@@ -1,4 +1,4 @@
-//! The stand-in for the rate-limited weight store.
+//! Mock of the rate-limited weight store.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -12,27 +12,27 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use crate::control::{Faults, Steer};
+use crate::control::{FaultUpdate, Faults};
 use crate::http::{Body, Handler, json, not_found, serve};
 
 /// A model in the store.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct StoredModel {
-    /// Its name.
+    /// Name of the model.
     pub model: String,
     /// Size of its weights.
     pub bytes: u64,
 }
 
-/// How a weight store is built.
+/// Configuration of a weight store.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WeightSettings {
-    /// Where it listens; port 0 lets the kernel choose.
+    /// Listen address; port 0 selects a free port.
     pub address: SocketAddr,
-    /// Rate over all readers together.
+    /// Total bandwidth, shared by all readers.
     pub rate_bytes_per_s: u64,
-    /// What it holds.
+    /// Stored models.
     pub models: Vec<StoredModel>,
 }
 
@@ -46,12 +46,12 @@
     }
 }
 
-/// What a reader of a model gets: the time that reading takes follows from it.
+/// Response to a read; determines how long the download takes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct WeightAnswer {
     /// Size of the weights.
     pub bytes: u64,
-    /// The rate for this reader, its share of the store's.
+    /// Bandwidth available to this reader.
     pub rate_bytes_per_s: u64,
 }
 
@@ -61,7 +61,7 @@
     models: &'a [StoredModel],
 }
 
-/// A stand-in weight store.
+/// A mock weight store.
 #[derive(Debug)]
 pub struct WeightStore {
     settings: WeightSettings,
@@ -69,18 +69,18 @@
     reads_until: Mutex<Vec<Instant>>,
 }
 
-/// A running weight store.
+/// Handle of a running weight store.
 #[derive(Clone, Debug)]
 pub struct WeightHandle {
-    /// Where it listens.
+    /// Bound address.
     pub address: SocketAddr,
     store: Arc<WeightStore>,
 }
 
 impl WeightHandle {
-    /// Brings about a failure or ends it.
-    pub fn steer(&self, order: &Steer) {
-        self.store.faults.steer(order);
+    /// Applies an update of the injected faults.
+    pub fn update_faults(&self, order: &FaultUpdate) {
+        self.store.faults.update_faults(order);
     }
 }
 
