--- a/crates/standins/tests/e2e/bad_input.rs
+++ b/crates/standins/tests/e2e/bad_input.rs
@@ -1,5 +1,5 @@
-//! What callers send by mistake or in bad faith: each gets a typed refusal that is counted, nothing reaches a
-//! backend server, and another caller is answered meanwhile.
+//! Malformed and malicious requests: each is rejected with a typed and counted refusal, none reaches a backend server,
+//! and other callers are still served.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use hibiscusvale::daemon::{Daemon, ExternalSystems, new_incarnation};
 use hibiscusvale_core::units::{Bytes as ByteCount, Millis};
-use hibiscusvale_standins::Steer;
+use hibiscusvale_standins::FaultUpdate;
 use hibiscusvale_standins::client::call;
 use hibiscusvale_standins::text::expected_answer;
 use http::{Method, Request};
@@ -22,7 +22,7 @@
 const PROMPT: &str = "The key is under the third stone.";
 const BODY_LIMIT: usize = 4_096;
 
-async fn strict_daemon(world: &World) -> Daemon {
+async fn daemon_with_tight_limits(world: &World) -> Daemon {
     let mut settings = world.settings("entry-1", &[]);
     settings.limits.body_bytes = ByteCount(BODY_LIMIT as u64);
     settings.limits.body_timeout_ms = Millis(200);
@@ -34,8 +34,8 @@
     daemon
 }
 
-/// The daemon's counter of one kind of event, once it counts any: an event of a connection is counted after the
-/// connection has ended, which the caller sees first.
+/// Waits until the daemon's counter of `event` is not zero and returns it. Connection events are counted after the
+/// connection has closed, so the caller can observe the close first.
 async fn events(daemon: &Daemon, event: &str) -> u64 {
     loop {
         match counted(daemon, event).await {
@@ -55,10 +55,10 @@
     value.map_or(0, |value| value.parse().expect("count"))
 }
 
-/// Nothing came through, and another caller is answered as ever.
-async fn assert_undisturbed(world: &World, daemon: &Daemon) {
+/// Asserts that no request reached a service and that another caller is served.
+async fn assert_unaffected(world: &World, daemon: &Daemon) {
     for (name, service) in &world.standins.plain {
-        assert!(service.ledger().is_empty(), "{name} ran something");
+        assert!(service.ledger().is_empty(), "{name} executed a request");
     }
     let other = Caller::new(daemon.callers_address());
     let answer = other.complete(PROMPT, 4, false).await;
@@ -67,7 +67,7 @@
     world.engines_empty().await;
 }
 
-/// Sends raw bytes and reads what comes until the other side closes.
+/// Sends raw bytes and reads until the peer closes the connection.
 async fn exchange(to: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(to).await.expect("connection");
     stream.write_all(bytes).await.expect("sent");
@@ -91,38 +91,42 @@
     )
 }
 
-struct Bad {
+struct BadRequest {
     token: &'static str,
     class: &'static str,
     header: (&'static str, &'static str),
     body: String,
 }
 
-fn completion(body: &str) -> Bad {
-    Bad { token: TOKEN, class: "default", header: ("accept", "*/*"), body: body.to_owned() }
+fn completion(body: &str) -> BadRequest {
+    BadRequest { token: TOKEN, class: "default", header: ("accept", "*/*"), body: body.to_owned() }
 }
 
-fn fine() -> Bad {
+fn valid() -> BadRequest {
     completion(r#"{"model":"small","prompt":"a","max_tokens":2}"#)
 }
 
 #[rstest]
 #[case::bad_json(completion("{\"model\":\"small\",\"prompt\":"), 400, "bad-body")]
 #[case::no_prompt(completion("{\"model\":\"small\"}"), 400, "bad-body")]
-#[case::absurd_length(completion(r#"{"model":"small","prompt":"a","max_tokens":99999999}"#), 400, "bad-body")]
-#[case::unknown_class(Bad { class: "tightest", ..fine() }, 403, "unknown-class")]
-#[case::class_of_other_work(Bad { class: "booking", ..fine() }, 400, "wrong-class")]
-#[case::wrong_token(Bad { token: "guessed", ..fine() }, 401, "unauthenticated")]
-#[case::unreadable_header(Bad { header: ("x-repeatable", "maybe"), ..fine() }, 400, "bad-header")]
+#[case::excessive_length(
+    completion(r#"{"model":"small","prompt":"a","max_tokens":99999999}"#),
+    400,
+    "bad-body"
+)]
+#[case::unknown_class(BadRequest { class: "tightest", ..valid() }, 403, "unknown-class")]
+#[case::class_of_other_work(BadRequest { class: "booking", ..valid() }, 400, "wrong-class")]
+#[case::wrong_token(BadRequest { token: "guessed", ..valid() }, 401, "unauthenticated")]
+#[case::unreadable_header(BadRequest { header: ("x-repeatable", "maybe"), ..valid() }, 400, "bad-header")]
 #[case::oversize_body(completion(&"x".repeat(BODY_LIMIT + 1)), 413, "body-too-large")]
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_request_is_refused_by_type_and_counted(
-    #[case] bad: Bad,
+async fn bad_request_is_rejected_with_type_and_counted(
+    #[case] bad: BadRequest,
     #[case] status: u16,
     #[case] reason: &str,
 ) {
     let world = World::start(SMALL_PLAN).await;
-    let daemon = strict_daemon(&world).await;
+    let daemon = daemon_with_tight_limits(&world).await;
     let request = Request::builder()
         .method("POST")
         .uri(format!("http://{}/v1/completions", daemon.callers_address()))
@@ -137,31 +141,30 @@
     assert_eq!(problem["type"], format!("urn:hibiscusvale:refusal:{reason}"));
     assert_eq!(problem["request_id"], answer.headers["x-request-id"].to_str().expect("text"));
     assert_eq!(events(&daemon, reason).await, 1);
-    assert_undisturbed(&world, &daemon).await;
+    assert_unaffected(&world, &daemon).await;
     stop(daemon).await;
 }
 
-/// A caller sends more than it may in chunks, so that no length warns of it. The daemon stops reading at the
-/// limit.
+/// A chunked body exceeds the limit without announcing its length. The daemon must stop reading at the limit.
 #[tokio::test(flavor = "multi_thread")]
 async fn oversize_body_in_chunks_is_refused_at_the_limit() {
     let world = World::start(SMALL_PLAN).await;
-    let daemon = strict_daemon(&world).await;
+    let daemon = daemon_with_tight_limits(&world).await;
     let mut bytes = head("/booking/new", "transfer-encoding: chunked\r\n").into_bytes();
     bytes.extend(format!("{:x}\r\n{}\r\n0\r\n\r\n", 2 * BODY_LIMIT, "x".repeat(2 * BODY_LIMIT)).bytes());
     let answer = exchange(daemon.callers_address(), &bytes).await;
     assert!(answer.contains("body-too-large"), "{answer}");
     assert_eq!(events(&daemon, "body-too-large").await, 1);
-    assert_undisturbed(&world, &daemon).await;
+    assert_unaffected(&world, &daemon).await;
     stop(daemon).await;
 }
 
-/// A caller's connection breaks in the middle of its body. A booking made of half a body would be wrong, so
-/// nothing may reach the service.
+/// The connection closes in the middle of the body. A booking from a truncated body would be wrong, so nothing may
+/// reach the service.
 #[tokio::test(flavor = "multi_thread")]
 async fn truncated_body_reaches_no_service() {
     let world = World::start(SMALL_PLAN).await;
-    let daemon = strict_daemon(&world).await;
+    let daemon = daemon_with_tight_limits(&world).await;
     let mut stream = TcpStream::connect(daemon.callers_address()).await.expect("connection");
     let half = head("/booking/new", "content-length: 100\r\n") + "{\"flat\": 7,";
     stream.write_all(half.as_bytes()).await.expect("sent");
@@ -169,38 +172,38 @@
     let answer = read_to_close(&mut stream).await;
     assert!(answer.is_empty() || answer.contains("body-truncated"), "{answer}");
     assert_eq!(events(&daemon, "body-truncated").await, 1);
-    assert_undisturbed(&world, &daemon).await;
+    assert_unaffected(&world, &daemon).await;
     stop(daemon).await;
 }
 
-/// A caller sends so slowly that its connection would be held for hours. It is told so after the time that
-/// the settings give, and its connection ends.
+/// A slow sender would occupy a connection for hours. After the configured timeout the daemon must respond and close
+/// the connection.
 #[rstest]
 #[case::body(head("/booking/new", "content-length: 100\r\n") + "{", "body-too-slow", "body-too-slow")]
 #[case::head("POST /booking/new HTTP/1.1\r\nhost: rou".to_owned(), "", "head-too-slow")]
 #[case::nothing(String::new(), "", "head-too-slow")]
 #[case::preface("PRI * HTTP".to_owned(), "", "head-too-slow")]
 #[tokio::test(flavor = "multi_thread")]
-async fn slow_sender_is_not_waited_for(#[case] sent: String, #[case] told: &str, #[case] event: &str) {
+async fn slow_sender_is_disconnected(#[case] sent: String, #[case] told: &str, #[case] event: &str) {
     let world = World::start(SMALL_PLAN).await;
-    let daemon = strict_daemon(&world).await;
+    let daemon = daemon_with_tight_limits(&world).await;
     let answer = exchange(daemon.callers_address(), sent.as_bytes()).await;
     assert!(answer.contains(told), "{answer}");
     assert_eq!(events(&daemon, event).await, 1);
-    assert_undisturbed(&world, &daemon).await;
+    assert_unaffected(&world, &daemon).await;
     stop(daemon).await;
 }
 
-/// A request announces its length in two ways that disagree. Where two programs on the way believe different
-/// ones, what one takes for a body the other runs as a second request: here a booking that nobody made.
+/// Request smuggling: a request has conflicting lengths. If two hops use different ones, the body seen by one is
+/// executed by the other as a second request, here a booking that nobody made.
 #[rstest]
 #[case::two_lengths("content-length: 0\r\ncontent-length: 40\r\n", "head-malformed")]
 #[case::length_with_sign("content-length: +4\r\n", "head-malformed")]
 #[case::other_encoding("transfer-encoding: chunked, identity\r\n", "head-malformed")]
 #[tokio::test(flavor = "multi_thread")]
-async fn conflicting_lengths_smuggle_nothing(#[case] lengths: &str, #[case] event: &str) {
+async fn conflicting_lengths_do_not_smuggle_requests(#[case] lengths: &str, #[case] event: &str) {
     let world = World::start(SMALL_PLAN).await;
-    let daemon = strict_daemon(&world).await;
+    let daemon = daemon_with_tight_limits(&world).await;
     let hidden = head("/booking/hidden", "content-length: 0\r\n");
     let sent =
         format!("{}0\r\n\r\n{hidden}", head("/booking/new", lengths).replace("connection: close\r\n", ""));
@@ -208,19 +211,20 @@
     assert!(answer.starts_with("HTTP/1.1 400 "), "{answer}");
     assert_eq!(answer.matches("HTTP/1.1 ").count(), 1, "{answer}");
     assert_eq!(events(&daemon, event).await, 1);
-    assert_undisturbed(&world, &daemon).await;
+    assert_unaffected(&world, &daemon).await;
     stop(daemon).await;
 }
 
-/// A request announces chunks and a length. HTTP says that the chunks count, and that the connection ends
-/// with the answer: what follows may be the part of a body that somebody in front took by its length.
+/// A request has both `transfer-encoding: chunked` and `content-length`. HTTP requires that the chunked encoding takes
+/// precedence and that the connection is closed after the response, as the following bytes may be part of a body that
+/// an upstream proxy delimited by its length.
 #[rstest]
 #[case::length_first("content-length: 4\r\ntransfer-encoding: chunked\r\n")]
 #[case::chunks_first("transfer-encoding: chunked\r\ncontent-length: 4\r\n")]
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_behind_a_chunked_body_is_run(#[case] lengths: &str) {
+async fn bytes_after_chunked_body_are_not_executed(#[case] lengths: &str) {
     let world = World::start(SMALL_PLAN).await;
-    let daemon = strict_daemon(&world).await;
+    let daemon = daemon_with_tight_limits(&world).await;
     let hidden = head("/booking/hidden", "content-length: 0\r\n");
     let open = head("/booking/new", lengths).replace("connection: close\r\n", "");
     let answer = exchange(daemon.callers_address(), format!("{open}0\r\n\r\n{hidden}").as_bytes()).await;
@@ -249,7 +253,7 @@
         frame
     }
 
-    /// A GET of a booking page, in HPACK without compression: indexed `:method` and `:scheme`, the rest spelt out.
+    /// A GET of a booking page in uncompressed HPACK: indexed `:method` and `:scheme`, all other fields literal.
     pub fn head(token: &str) -> Vec<u8> {
         let mut head = vec![0x82, 0x86];
         let fields = [
@@ -269,14 +273,13 @@
     }
 }
 
-/// A caller opens HTTP/2 streams and resets each at once, so that the limit on open streams never holds it
-/// back while the daemon does the work of a request for each. Its connection is closed; other callers notice
-/// nothing.
+/// HTTP/2 rapid reset: a caller opens streams and resets each immediately, so that the limit on open streams does not
+/// apply while the daemon starts a request for each. The connection must be closed; other callers are not affected.
 #[tokio::test(flavor = "multi_thread")]
-async fn flood_of_reset_streams_ends_its_own_connection_only() {
+async fn rapid_reset_closes_only_its_own_connection() {
     const STREAMS: u32 = 20_000;
     let world = World::start(SMALL_PLAN).await;
-    let daemon = strict_daemon(&world).await;
+    let daemon = daemon_with_tight_limits(&world).await;
     let mut flood = [http2::PREFACE, &http2::frame(http2::SETTINGS, 0, 0, &[])].concat();
     let head = http2::head(&format!("Bearer {TOKEN}"));
     for stream in (1..).step_by(2).take(STREAMS as usize) {
@@ -286,7 +289,7 @@
     let (mut reads, mut writes) =
         TcpStream::connect(daemon.callers_address()).await.expect("connection").into_split();
     let flooding = tokio::spawn(async move {
-        // The daemon closes the connection in the middle of it.
+        // Writes fail once the daemon closes the connection.
         let _ = writes.write_all(&flood).await;
         writes
     });
@@ -296,19 +299,23 @@
     let mut answer = Vec::new();
     let _ = reads.read_to_end(&mut answer).await;
     drop(flooding.await.expect("flooded"));
-    let calm = answer.windows(4).any(|window| window == http2::ENHANCE_YOUR_CALM);
+    let has_enhance_your_calm = answer.windows(4).any(|window| window == http2::ENHANCE_YOUR_CALM);
     let goaway = answer.windows(4).any(|window| window[3] == http2::GOAWAY);
-    assert!(calm && goaway, "no GOAWAY with ENHANCE_YOUR_CALM came in {} bytes", answer.len());
+    assert!(
+        has_enhance_your_calm && goaway,
+        "no GOAWAY with ENHANCE_YOUR_CALM came in {} bytes",
+        answer.len()
+    );
     assert_eq!(events(&daemon, "reset-flood").await, 1);
     let pages: usize = world.standins.plain.iter().map(|(_, service)| service.ledger().len()).sum();
     assert!(pages < STREAMS as usize / 10, "{pages} of {STREAMS} reset requests were run");
     stop(daemon).await;
 }
 
-/// A partner sends many large bodies at once to a service that has become slow. Were all of them held the host would
-/// run out of memory and take every request in flight with it; past the bound a caller is told to come back.
+/// A partner sends many large bodies concurrently to a slow service. Buffering all of them would exhaust the host's
+/// memory and abort every request in flight; above the limit, requests must be rejected with `retry-after`.
 #[tokio::test(flavor = "multi_thread")]
-async fn bodies_beyond_the_room_for_them_are_refused_until_there_is_room() {
+async fn bodies_over_memory_limit_are_rejected_until_memory_is_free() {
     let world = World::start(SMALL_PLAN).await;
     let mut settings = world.settings("entry-1", &[]);
     settings.limits.body_bytes = ByteCount(4_096);
@@ -323,7 +330,7 @@
         caller.request("POST", "/booking/new").body(body).expect("request")
     };
     for (_, service) in &world.standins.plain {
-        service.steer(&Steer { mute: Some(true), ..Steer::default() });
+        service.update_faults(&FaultUpdate { mute: Some(true), ..FaultUpdate::default() });
     }
     let (one, other) = tokio::join!(caller.ask(book()), caller.ask(book()));
     let (held, refused) = if one.outcome() == "unknown" { (one, other) } else { (other, one) };
@@ -332,17 +339,17 @@
     assert!(refused.body.contains("overloaded") && refused.headers.contains_key("retry-after"));
 
     for (_, service) in &world.standins.plain {
-        service.steer(&Steer { mute: Some(false), ..Steer::default() });
+        service.update_faults(&FaultUpdate { mute: Some(false), ..FaultUpdate::default() });
     }
     let answered = caller.ask(book()).await;
     assert_eq!(answered.outcome(), "answered", "{}", answered.body);
     stop(daemon).await;
 }
 
-/// Somebody opens all the connections that a host serves and says nothing on them. Callers wait for a moment; were
-/// such connections kept, nobody would get in again.
+/// A client opens as many connections as a host accepts and sends nothing. Unless idle connections are closed after the
+/// timeout, no other caller can connect.
 #[tokio::test(flavor = "multi_thread")]
-async fn silent_connections_take_all_places_for_a_moment_only() {
+async fn idle_connections_do_not_block_callers_permanently() {
     let world = World::start(SMALL_PLAN).await;
     let mut settings = world.settings("entry-1", &[]);
     settings.limits.connections = 2;
@@ -355,7 +362,7 @@
     for _ in 0..4 {
         silent.push(TcpStream::connect(daemon.callers_address()).await.expect("connection"));
     }
-    assert_undisturbed(&world, &daemon).await;
+    assert_unaffected(&world, &daemon).await;
     drop(silent);
     stop(daemon).await;
 }
--- a/crates/standins/tests/e2e/config.rs
+++ b/crates/standins/tests/e2e/config.rs
@@ -1,4 +1,4 @@
-//! Configuration on real daemons, with the log gone or cut off.
+//! Configuration of real daemons while the log is unavailable or partitioned.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,24 +8,23 @@
 use hibiscusvale::operators::views::{ConfigView, StatusView, TargetView};
 use hibiscusvale_core::config::{ClassTarget, Record};
 use hibiscusvale_core::units::Millis;
-use hibiscusvale_standins::control::Steer;
+use hibiscusvale_standins::control::FaultUpdate;
 
 use crate::world::{Caller, SMALL_PLAN, World, stop, streamed_text};
 
 const PROMPT: &str = "The glider came back with a loose canopy latch.";
 
-/// How long anything may take before the test gives up. The bound of the brief is seconds; a busy machine must
-/// not fail the test.
-const PATIENCE: Duration = Duration::from_mins(1);
+/// Timeout of each wait. The required bound is seconds; the margin avoids false failures on a busy machine.
+const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
 
-const PAUSE: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-fn outage(is_down: bool) -> Steer {
-    Steer { outage: Some(is_down), ..Steer::default() }
+fn outage(is_down: bool) -> FaultUpdate {
+    FaultUpdate { outage: Some(is_down), ..FaultUpdate::default() }
 }
 
-/// Waits until the class `booking` has this target on the daemon.
-async fn in_force(daemon: &Daemon, response_ms: u64) {
+/// Waits until the daemon's class `booking` has the target `response_ms`.
+async fn wait_in_force(daemon: &Daemon, response_ms: u64) {
     let client = OperatorClient::default();
     let wanted = TargetView::Plain { response_ms: Millis(response_ms) };
     let seen = async {
@@ -38,10 +37,10 @@
             if classes.any(|class| class.class.as_str() == "booking" && class.target == wanted) {
                 return;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    let seen = tokio::time::timeout(PATIENCE, seen).await;
+    let seen = tokio::time::timeout(WAIT_TIMEOUT, seen).await;
     assert_eq!(seen, Ok(()), "not in force in time");
 }
 
@@ -54,31 +53,31 @@
     assert!(streamed_text(&answer.body).is_some(), "{} {}", answer.status, answer.body);
 }
 
-/// The log is down, and all hosts are replaced one after another meanwhile, as happens within any day. Each new
-/// one takes the classes from a daemon that still lives. Without that, callers would hear from more and more
-/// hosts that their class does not exist. When the log is back and all its records have expired, the daemons
-/// write the state down, so that a host can start from the log alone again.
+/// All hosts are replaced one by one during a log outage, as in a rolling replacement within a day. Each new daemon
+/// must copy the classes from a live one; otherwise ever more hosts would reject callers with an unknown class. Once
+/// the log is back and all its records have expired, the daemons must write a checkpoint, so that a host can start
+/// from the log alone.
 #[tokio::test(flavor = "multi_thread")]
-async fn classes_outlive_a_log_outage_in_which_every_host_is_replaced() {
+async fn classes_survive_replacement_of_all_hosts_during_log_outage() {
     let world = World::start(SMALL_PLAN).await;
-    let mut eldest = world.daemon("entry-1").await;
-    world.standins.log.steer(&outage(true));
+    let mut oldest = world.daemon("entry-1").await;
+    world.standins.log.update_faults(&outage(true));
     for host in ["entry-2", "entry-3"] {
-        let replacement = world.daemon_beside(host, &[&eldest]).await;
-        stop(eldest).await;
+        let replacement = world.daemon_beside(host, &[&oldest]).await;
+        stop(oldest).await;
         assert_serves(&replacement).await;
-        eldest = replacement;
+        oldest = replacement;
     }
     let records = world.standins.log.records("config").len();
     world.standins.log.expire("config", records);
-    world.standins.log.steer(&outage(false));
+    world.standins.log.update_faults(&outage(false));
     let written = async {
         while !has_checkpoint(&world) {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    assert_eq!(tokio::time::timeout(PATIENCE, written).await, Ok(()), "no checkpoint in time");
-    stop(eldest).await;
+    assert_eq!(tokio::time::timeout(WAIT_TIMEOUT, written).await, Ok(()), "no checkpoint in time");
+    stop(oldest).await;
 
     let alone = world.daemon("entry-4").await;
     assert_serves(&alone).await;
@@ -91,14 +90,14 @@
     records.iter().any(|(_, bytes)| is_checkpoint(bytes))
 }
 
-/// One host's way to the log is cut while its way to the other daemons works. A change must come into force there
-/// too; otherwise what a caller gets would depend on the host that the balancer picks.
+/// One host is partitioned from the log but still reaches the other daemons. A change must take effect there, too;
+/// otherwise the outcome of a request would depend on the host that the balancer picks.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_reaches_a_daemon_that_is_cut_off_from_the_log() {
+async fn change_reaches_daemon_partitioned_from_log() {
     let world = World::start(SMALL_PLAN).await;
     let first = world.daemon("entry-1").await;
-    let cut = world.standins.log.share("127.0.0.1:0".parse().expect("an address")).await.expect("a log");
-    cut.steer(&Steer { mute: Some(true), ..Steer::default() });
+    let cut = world.standins.log.serve_at("127.0.0.1:0".parse().expect("an address")).await.expect("a log");
+    cut.update_faults(&FaultUpdate { mute: Some(true), ..FaultUpdate::default() });
     let mut settings = world.settings("entry-2", &[first.peer_address()]);
     settings.platform.log = cut.address;
     let incarnation = new_incarnation();
@@ -106,8 +105,8 @@
         Daemon::start(&settings, ExternalSystems::new(&settings, incarnation), incarnation).expect("daemon");
     second.ready().await;
     world.publish("booking", ClassTarget::plain(Millis(777))).await;
-    in_force(&first, 777).await;
-    in_force(&second, 777).await;
+    wait_in_force(&first, 777).await;
+    wait_in_force(&second, 777).await;
     let (first_status, second_status) =
         (status(first.operators_address()).await, status(second.operators_address()).await);
     assert_eq!(first_status.state, second_status.state, "the same classes at the same offset");
--- a/crates/standins/tests/e2e/crash.rs
+++ b/crates/standins/tests/e2e/crash.rs
@@ -1,4 +1,4 @@
-//! Daemons that are killed amid requests which run at most once, with the log cut off.
+//! Daemons killed during at-most-once requests while the log is unreachable.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use hibiscusvale::daemon::Daemon;
-use hibiscusvale_standins::Steer;
+use hibiscusvale_standins::FaultUpdate;
 use http::Request;
 use http_body_util::{BodyExt, Full};
 use hyper_util::client::legacy::Client;
@@ -17,7 +17,7 @@
 
 use crate::world::{Caller, TOKEN, World, stop};
 
-/// Slow enough that requests are under way when the daemon is killed.
+/// The service time is long enough that requests are in flight when the daemon is killed.
 const PLAN: &str = r#"
     [[plain]]
     place = {name = "booking", data_centre = "casa-1", region = "ma-north", partner = "nadifa", count = 2}
@@ -26,25 +26,25 @@
 
 const CALLERS: usize = 48;
 
-/// Tries of each caller before the log is back, and after.
-const TRIES_WITHOUT_LOG: usize = 3;
-const TRIES_WITH_LOG: usize = 6;
+/// Attempts of each caller before and after the log recovers.
+const ATTEMPTS_WITHOUT_LOG: usize = 3;
+const ATTEMPTS_WITH_LOG: usize = 6;
 
-/// Pause of a caller between tries.
-const PAUSE: Duration = Duration::from_millis(300);
+/// Delay between the attempts of a caller.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// What a caller was told in one try.
+/// Outcome that a caller observed in one attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Told {
+enum Observed {
     Answered,
     NotRun,
     Unknown,
-    /// The connection broke, or could not be made.
-    Nothing,
+    /// The connection failed or could not be established.
+    NoResponse,
 }
 
-/// One try under a key, over a connection of its own.
-async fn book(to: SocketAddr, key: &str) -> Told {
+/// Makes one attempt with the idempotency key on a new connection.
+async fn book(to: SocketAddr, key: &str) -> Observed {
     let client = Client::builder(TokioExecutor::new()).build_http();
     let request = Request::builder()
         .method("POST")
@@ -55,39 +55,39 @@
         .body(Full::new(Bytes::from_static(b"{}")))
         .expect("request");
     let Ok(answer) = client.request(request).await else {
-        return Told::Nothing;
+        return Observed::NoResponse;
     };
     let (parts, body) = answer.into_parts();
     let Ok(body) = body.collect().await else {
-        return Told::Nothing;
+        return Observed::NoResponse;
     };
     let body = String::from_utf8(body.to_bytes().to_vec()).expect("text");
     match parts.headers.get("x-outcome").map(http::HeaderValue::as_bytes) {
-        // That the answer is gone is an outcome, too; only an answer names its execution.
+        // An answer that is no longer stored also counts as answered, but has no execution in its body.
         Some(b"answered") if parts.status.is_success() => {
             assert!(body.contains(&format!("\"{key}\"")), "the answer to another request: {body}");
-            Told::Answered
+            Observed::Answered
         }
-        Some(b"answered") => Told::Answered,
-        Some(b"not-run") => Told::NotRun,
-        Some(b"unknown") => Told::Unknown,
+        Some(b"answered") => Observed::Answered,
+        Some(b"not-run") => Observed::NotRun,
+        Some(b"unknown") => Observed::Unknown,
         other => panic!("{other:?}: {body}"),
     }
 }
 
-async fn call(number: usize, hosts: [SocketAddr; 3], phase: Arc<Barrier>) -> (String, Vec<Told>) {
+async fn call(number: usize, hosts: [SocketAddr; 3], phase: Arc<Barrier>) -> (String, Vec<Observed>) {
     let key = format!("flat-{number}");
-    let mut told = Vec::new();
-    for attempt in 0..TRIES_WITHOUT_LOG + TRIES_WITH_LOG {
-        if attempt == TRIES_WITHOUT_LOG {
+    let mut observed = Vec::new();
+    for attempt in 0..ATTEMPTS_WITHOUT_LOG + ATTEMPTS_WITH_LOG {
+        if attempt == ATTEMPTS_WITHOUT_LOG {
             phase.wait().await;
         }
-        if told.last() != Some(&Told::Answered) {
-            told.push(book(hosts[(number + attempt) % hosts.len()], &key).await);
-            tokio::time::sleep(PAUSE).await;
+        if observed.last() != Some(&Observed::Answered) {
+            observed.push(book(hosts[(number + attempt) % hosts.len()], &key).await);
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
-    (key, told)
+    (key, observed)
 }
 
 fn executions(world: &World) -> BTreeMap<String, usize> {
@@ -100,27 +100,27 @@
     counts
 }
 
-fn log_fails(muted: bool, failing: bool) -> Steer {
+fn log_fault(muted: bool, failing: bool) -> FaultUpdate {
     if muted {
-        Steer { mute: Some(failing), ..Steer::default() }
+        FaultUpdate { mute: Some(failing), ..FaultUpdate::default() }
     } else {
-        Steer { outage: Some(failing), ..Steer::default() }
+        FaultUpdate { outage: Some(failing), ..FaultUpdate::default() }
     }
 }
 
-/// Bookings are under way when the log is cut off, refusing or without a word, and one of three hosts is killed.
-/// Callers try again at the others, also after the log is back. No flat is booked twice, and whatever a caller
-/// was told agrees with the service's own ledger.
+/// Bookings are in flight when the log becomes unreachable (rejecting or not responding) and one of three hosts is
+/// killed. Callers retry on the others, also after the log recovers. No flat may be booked twice, and every outcome
+/// reported to a caller must match the service's ledger.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_daemon_and_a_cut_log_book_nothing_twice(#[values(false, true)] muted: bool) {
+async fn daemon_crash_during_log_outage_causes_no_double_booking(#[values(false, true)] muted: bool) {
     let world = World::start(PLAN).await;
     let first = world.daemon("entry-1").await;
     let second = world.daemon_beside("entry-2", &[&first]).await;
     let third = world.daemon_beside("entry-3", &[&first, &second]).await;
     let hosts = [&first, &second, &third].map(Daemon::callers_address);
 
-    // A booking that ended well before is still known to all hosts afterwards.
+    // A booking completed before the outage must still be known to all hosts afterwards.
     let early = Caller::new(hosts[1]).book("early", ("idempotency-key", "early")).await;
     assert_eq!(early.outcome(), "answered", "{}", early.body);
 
@@ -129,15 +129,15 @@
         (0..CALLERS).map(|number| tokio::spawn(call(number, hosts, Arc::clone(&phase)))).collect();
     let (_, plain) = &world.standins.plain[0];
     plain.wait_executed(4).await;
-    world.standins.log.steer(&log_fails(muted, true));
+    world.standins.log.update_faults(&log_fault(muted, true));
     tokio::task::spawn_blocking(move || first.kill()).await.expect("killed");
     phase.wait().await;
-    world.standins.log.steer(&log_fails(muted, false));
+    world.standins.log.update_faults(&log_fault(muted, false));
 
-    let mut told = BTreeMap::new();
+    let mut observed = BTreeMap::new();
     for call in calls {
         let (key, outcomes) = call.await.expect("caller");
-        told.insert(key, outcomes);
+        observed.insert(key, outcomes);
     }
     let again = Caller::new(hosts[2]).book("early", ("idempotency-key", "early")).await;
     assert_eq!((again.outcome(), &again.body), ("answered", &early.body));
@@ -145,12 +145,12 @@
     let ran = executions(&world);
     assert!(ran.values().all(|&times| times == 1), "booked twice: {ran:?}");
     let mut kinds: BTreeMap<&str, usize> = BTreeMap::new();
-    for (key, outcomes) in &told {
+    for (key, outcomes) in &observed {
         let times = ran.get(key).copied().unwrap_or_default();
-        let kind = if outcomes.contains(&Told::Answered) {
+        let kind = if outcomes.contains(&Observed::Answered) {
             assert_eq!(times, 1, "{key}: {outcomes:?}");
             "answered"
-        } else if outcomes.iter().all(|outcome| *outcome == Told::NotRun) {
+        } else if outcomes.iter().all(|outcome| *outcome == Observed::NotRun) {
             assert_eq!(times, 0, "{key}: {outcomes:?}");
             "not run"
         } else {
@@ -159,7 +159,7 @@
         *kinds.entry(kind).or_default() += 1;
     }
     assert!(kinds.get("answered").copied().unwrap_or_default() >= CALLERS / 4, "{kinds:?}");
-    println!("callers were told {kinds:?}");
+    println!("outcomes by kind: {kinds:?}");
     stop(second).await;
     stop(third).await;
 }
--- a/crates/standins/tests/e2e/hosts.rs
+++ b/crates/standins/tests/e2e/hosts.rs
@@ -1,18 +1,17 @@
-//! Entry hosts that die, are replaced, or stop.
+//! Entry hosts that crash, are replaced or shut down.
 
 use std::time::{Duration, Instant};
 
-use hibiscusvale_standins::{Steer, text};
+use hibiscusvale_standins::{FaultUpdate, text};
 
 use crate::world::{Caller, SMALL_PLAN, World, stop, streamed_text};
 
 const PROMPT: &str = "The client keeps a large dog and is allergic to bleach.";
 
-/// A host dies while engines write answers for its callers, and is replaced under the same name. Unless
-/// somebody else tells the engines they hold slots for callers who have long been disconnected, and the pool
-/// shrinks with each host that fails.
+/// A host crashes while engines generate answers for its callers, and is replaced under the same name. Unless another
+/// daemon cancels its requests, the engines keep slots for disconnected callers and lose capacity with each crash.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_a_dead_daemon_held_is_released_when_its_host_is_replaced() {
+async fn requests_of_crashed_daemon_are_released_when_host_is_replaced() {
     let world = World::start(SMALL_PLAN).await;
     let first = world.daemon("entry-1").await;
     let second = world.daemon_beside("entry-2", &[&first]).await;
@@ -35,15 +34,15 @@
     stop(replaced).await;
 }
 
-/// Log and host list are away for hours, and a host is replaced meanwhile. Without its neighbours the new daemon
-/// would know neither classes nor servers, and each replaced host would be one less to serve callers.
+/// A host is replaced while the log and the host list are unavailable for hours. Unless the new daemon copies classes
+/// and servers from its peers, each replaced host is lost for callers.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_host_replaced_while_the_platform_is_away_serves_from_what_its_neighbours_know() {
+async fn host_replaced_during_platform_outage_copies_state_from_peers() {
     let world = World::start(SMALL_PLAN).await;
     let first = world.daemon("entry-1").await;
-    let away = Steer { outage: Some(true), ..Steer::default() };
-    world.standins.log.steer(&away);
-    world.standins.hosts.steer(&away);
+    let unavailable = FaultUpdate { outage: Some(true), ..FaultUpdate::default() };
+    world.standins.log.update_faults(&unavailable);
+    world.standins.hosts.update_faults(&unavailable);
 
     let replaced = world.daemon_beside("entry-2", &[&first]).await;
     let answer = Caller::new(replaced.callers_address()).complete(PROMPT, 12, true).await;
@@ -52,10 +51,10 @@
     stop(replaced).await;
 }
 
-/// Two of the three hosts that watch a data centre's engines die at once. Until others watch those engines in their
-/// place nobody may use them, and callers are told to come back; it must not last.
+/// Two of the three hosts that monitor a data centre's engines crash at once. Until the engines are reassigned, nobody
+/// may use them and callers are rejected with `retry-after`; the reassignment must complete.
 #[tokio::test(flavor = "multi_thread")]
-async fn engines_of_dead_watchers_are_watched_again() {
+async fn engines_of_crashed_watchers_are_reassigned() {
     let world = World::start(SMALL_PLAN).await;
     let first = world.daemon("entry-1").await;
     let second = world.daemon_beside("entry-2", &[&first]).await;
@@ -74,6 +73,6 @@
         assert!(answer.headers.contains_key("retry-after"), "{}", answer.body);
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    println!("watched again after {:?}", killed.elapsed());
+    println!("reassigned after {:?}", killed.elapsed());
     stop(first).await;
 }
--- a/crates/standins/tests/e2e/leaving.rs
+++ b/crates/standins/tests/e2e/leaving.rs
@@ -1,10 +1,10 @@
-//! Servers that leave while the platform's list still calls them live.
+//! Servers that drain while the host list still shows them as live.
 
 use bytes::Bytes;
 use hibiscusvale::daemon::Daemon;
 use hibiscusvale::operators::OperatorClient;
 use hibiscusvale::operators::views::OutcomesView;
-use hibiscusvale_standins::Steer;
+use hibiscusvale_standins::FaultUpdate;
 use hibiscusvale_standins::client::call;
 use http::Method;
 use http_body_util::Full;
@@ -18,7 +18,7 @@
     caller.ask(request).await
 }
 
-/// Further tries that the daemon made because a server said that it leaves.
+/// Number of retries that the daemon made because a server was draining.
 async fn retries_for_leaving(daemon: &Daemon) -> u64 {
     let client = OperatorClient::default();
     let view: OutcomesView =
@@ -27,7 +27,7 @@
     retries.filter(|count| count.label == "leaving").map(|count| count.count).sum()
 }
 
-/// Backend servers that the daemon would give work to.
+/// Number of backend servers that the daemon considers live.
 async fn servers_live(daemon: &Daemon) -> u64 {
     let (_, text) =
         call(daemon.operators_address(), Method::GET, "/metrics", Bytes::new()).await.expect("metrics");
@@ -36,14 +36,14 @@
     line.and_then(|line| line.rsplit(' ').next()).map_or(0, |value| value.parse().expect("value"))
 }
 
-/// An instance begins to drain, and the list will say so only later. One host is refused there and tells the others;
-/// were each to find out by itself, the instance would go on being called for as long as the list lags.
+/// An instance starts draining before the host list shows it. The first daemon that is rejected must notify the others;
+/// otherwise each daemon would call the instance until the list catches up.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_one_daemon_found_leaving_gets_no_work_from_another() {
+async fn draining_server_found_by_one_daemon_gets_no_work_from_another() {
     let world = World::start(SMALL_PLAN).await;
     let first = world.daemon("entry-1").await;
     let second = world.daemon_beside("entry-2", &[&first]).await;
-    world.standins.plain[0].1.steer(&Steer { leaving: Some(true), ..Steer::default() });
+    world.standins.plain[0].1.update_faults(&FaultUpdate { leaving: Some(true), ..FaultUpdate::default() });
 
     let caller = Caller::new(first.callers_address());
     while retries_for_leaving(&first).await == 0 {
@@ -58,7 +58,7 @@
     for _ in 0..CALLS {
         assert_eq!(page(&caller).await.outcome(), "answered");
     }
-    assert_eq!(retries_for_leaving(&second).await, 0, "the leaving server was called");
+    assert_eq!(retries_for_leaving(&second).await, 0, "the draining server was called");
     stop(first).await;
     stop(second).await;
 }
--- a/crates/standins/tests/e2e/main.rs
+++ b/crates/standins/tests/e2e/main.rs
@@ -1,4 +1,4 @@
-//! The whole path over sockets: daemons in front of stand-ins, all in this process, ports from the kernel.
+//! End-to-end tests over sockets: daemons in front of mock servers, in one process on free ports.
 
 mod bad_input;
 mod config;
--- a/crates/standins/tests/e2e/models.rs
+++ b/crates/standins/tests/e2e/models.rs
@@ -1,4 +1,4 @@
-//! Models that come into use.
+//! Loading of models on demand.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
     models = [{model = "large", bytes = 1000000}]
 "#;
 
-/// A partner begins to ask for a model that is stored but loaded nowhere. Without anyone on shift its callers
-/// would be refused for ever; the holder of the lease has it loaded, under the lease's fencing number.
+/// A partner requests a model that is stored but not loaded. The lease holder must order an engine to load it, with the
+/// fencing token of its lease; otherwise callers would be rejected indefinitely.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_model_that_is_asked_for_is_loaded_by_the_holder_of_the_lease() {
+async fn lease_holder_loads_requested_model() {
     let world = World::start(&format!("{WEIGHTS}{SMALL_PLAN}")).await;
     let daemon = world.daemon("entry-1").await;
     let caller = Caller::new(daemon.callers_address());
--- a/crates/standins/tests/e2e/once.rs
+++ b/crates/standins/tests/e2e/once.rs
@@ -1,4 +1,4 @@
-//! Requests that run at most once, over keys, tickets and several daemons.
+//! At-most-once requests with idempotency keys and tickets on several daemons.
 
 use bytes::Bytes;
 use hibiscusvale::daemon::Daemon;
@@ -12,10 +12,10 @@
     world.standins.plain.iter().map(|(_, plain)| plain.ledger().len()).sum()
 }
 
-/// A caller's connection breaks before the answer arrives, and the balancer takes its second try to another
-/// host. The caller sees the first answer; the flat is booked once.
+/// A caller loses its connection before the answer arrives and retries on another host. It must get the first answer,
+/// and the flat must be booked once.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_used_again_at_another_host_gets_the_first_answer() {
+async fn retry_with_same_key_on_another_host_gets_first_answer() {
     let world = World::start(SMALL_PLAN).await;
     let first = world.daemon("entry-1").await;
     let second = world.daemon_beside("entry-2", &[&first]).await;
@@ -26,17 +26,17 @@
     assert_eq!((again.status.as_u16(), again.outcome()), (200, "answered"), "{}", again.body);
     assert_eq!(again.body, booked.body);
     assert_eq!(executions(&world), 1);
-    let counted = appends_of_claims(&first).await + appends_of_claims(&second).await;
+    let counted = claim_append_count(&first).await + claim_append_count(&second).await;
     let log = &world.standins.log;
     let taken: u64 =
         log.appends().iter().filter(|(name, _)| name.starts_with("claims")).map(|(_, n)| n).sum();
-    assert_eq!((counted, taken), (1, 1), "the second call found the key without an append of its own");
+    assert_eq!((counted, taken), (1, 1), "the second call found the key without a further append");
     stop(first).await;
     stop(second).await;
 }
 
-/// Appends of claims that a daemon has counted.
-async fn appends_of_claims(daemon: &Daemon) -> u64 {
+/// Number of claim appends counted by a daemon.
+async fn claim_append_count(daemon: &Daemon) -> u64 {
     let (_, text) =
         call(daemon.operators_address(), Method::GET, "/metrics", Bytes::new()).await.expect("metrics");
     let text = String::from_utf8(text.to_vec()).expect("text");
@@ -44,10 +44,9 @@
     line.and_then(|line| line.rsplit(' ').next()).map_or(0, |count| count.parse().expect("count"))
 }
 
-/// Two different bookings carry the same key by a mistake of the caller's program. The second is refused, and
-/// its caller is told that it did not run.
+/// A faulty client uses one key for two different bookings. The second must be rejected with outcome `not-run`.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_used_for_another_request_is_refused() {
+async fn key_reused_for_another_request_is_rejected() {
     let Served { world, daemon, caller } = Served::start().await;
 
     caller.book("7", ("idempotency-key", "one")).await;
@@ -57,15 +56,18 @@
     stop(daemon).await;
 }
 
-/// The log is down for hours. A caller with a ticket is served all the same, also at a host that did not give
-/// the ticket; a caller with a key alone is told when to come back, and nothing ran.
+/// The log is unavailable for hours. A caller with a ticket must be served, also by a host that did not issue it; a
+/// caller with only a key must be rejected with `retry-after`, and nothing may run.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_ticket_is_honoured_while_the_log_is_down() {
+async fn ticket_is_accepted_during_log_outage() {
     let world = World::start(SMALL_PLAN).await;
     let first = world.daemon("entry-1").await;
     let second = world.daemon_beside("entry-2", &[&first]).await;
     let caller = Caller::new(first.callers_address());
-    world.standins.log.steer(&hibiscusvale_standins::Steer { outage: Some(true), ..Default::default() });
+    world
+        .standins
+        .log
+        .update_faults(&hibiscusvale_standins::FaultUpdate { outage: Some(true), ..Default::default() });
 
     let request = caller.request("POST", "/v1/tickets").body(Full::new(Bytes::new())).expect("request");
     let given: serde_json::Value = serde_json::from_str(&caller.ask(request).await.body).expect("ticket");
--- a/crates/standins/tests/e2e/path.rs
+++ b/crates/standins/tests/e2e/path.rs
@@ -1,9 +1,9 @@
-//! One request of each kind from start to finish.
+//! One request of each kind from start to end.
 
 use bytes::Bytes;
 use hibiscusvale::operators::OperatorClient;
 use hibiscusvale::operators::views::{OutcomesView, RequestView};
-use hibiscusvale_standins::Steer;
+use hibiscusvale_standins::FaultUpdate;
 use hibiscusvale_standins::text;
 use http_body_util::Full;
 
@@ -12,7 +12,7 @@
 const PROMPT: &str = "The client keeps a large dog and is allergic to bleach.";
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_completion_is_answered_whole_and_streamed() {
+async fn completion_is_answered_with_and_without_streaming() {
     let Served { world, daemon, caller } = Served::start().await;
 
     let whole = caller.complete(PROMPT, 12, false).await;
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_booking_reaches_the_service_as_it_was_sent() {
+async fn booking_reaches_service_unchanged() {
     let Served { world, daemon, caller } = Served::start().await;
 
     let request = caller
@@ -46,10 +46,10 @@
     stop(daemon).await;
 }
 
-/// Something between router and engine forgets the connection in the middle of an answer. The caller notices a
-/// pause; its bytes are the same as without the failure.
+/// A middlebox drops the state of the connection between router and engine during an answer. The caller may see a
+/// pause, but must receive the same bytes as without the failure.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_whose_connection_went_silent_is_resumed_by_index() {
+async fn stream_with_stalled_connection_is_resumed_by_index() {
     let Served { world, daemon, caller } = Served::start().await;
 
     let asked = tokio::spawn({
@@ -61,7 +61,7 @@
             let engine = engine.clone();
             tokio::spawn(async move {
                 engine.wait_until(|state| !state.held.is_empty()).await;
-                engine.steer(&Steer { silence: true, ..Steer::default() });
+                engine.update_faults(&FaultUpdate { silence: true, ..FaultUpdate::default() });
             });
         }
     }
@@ -71,10 +71,10 @@
     stop(daemon).await;
 }
 
-/// A family closes the page while its answer is being written. Unless the engine is told, it goes on holding a
-/// slot for nobody.
+/// A caller disconnects while its answer is generated. Unless the router cancels the request, the engine keeps an
+/// unused slot.
 #[tokio::test(flavor = "multi_thread")]
-async fn engine_memory_is_released_when_the_caller_leaves() {
+async fn engine_memory_is_released_when_caller_disconnects() {
     let Served { world, daemon, caller } = Served::start().await;
 
     let body = serde_json::json!({"model": "small", "prompt": PROMPT, "max_tokens": 4000, "stream": true});
@@ -86,9 +86,9 @@
     stop(daemon).await;
 }
 
-/// The host is told to stop while an answer is being written. The caller still gets all of it.
+/// A daemon shuts down gracefully while an answer is generated. The caller must still receive the complete answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_graceful_stop_cuts_off_no_stream() {
+async fn graceful_shutdown_completes_streams() {
     let Served { world, daemon, caller } = Served::start().await;
 
     let asked = tokio::spawn({
@@ -103,14 +103,14 @@
     world.engines_empty().await;
 }
 
-/// A family closes the booking page before it has loaded. Its request ends with the connection; were it not counted,
-/// the operators' figures would show fewer requests than callers sent.
+/// A caller disconnects before the booking page has loaded. The request must be counted; otherwise the metrics would
+/// show fewer requests than callers sent.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_page_whose_caller_leaves_is_counted() {
+async fn page_whose_caller_disconnects_is_counted() {
     let world = World::start(SMALL_PLAN).await;
     let daemon = world.daemon("entry-1").await;
     for (_, service) in &world.standins.plain {
-        service.steer(&Steer { mute: Some(true), ..Steer::default() });
+        service.update_faults(&FaultUpdate { mute: Some(true), ..FaultUpdate::default() });
     }
     let caller = Caller::new(daemon.callers_address());
     let request = caller.request("GET", "/booking/week").body(Full::new(Bytes::new())).expect("request");
@@ -132,13 +132,13 @@
     stop(daemon).await;
 }
 
-/// A booking is refused because no instance takes work. Its operator asks why by the id that the caller was given;
-/// were the refusal not kept, or counted a second time as a caller who left, the figures would mislead whoever looks.
+/// A booking is rejected because no instance accepts work. An operator must be able to look up the reason by request
+/// id, and the refusal must not be counted a second time as a disconnected caller, which would falsify the metrics.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refused_request_is_counted_once_and_explained() {
+async fn refused_request_is_counted_once_and_explained() {
     let Served { world, daemon, caller } = Served::start().await;
     for (_, service) in &world.standins.plain {
-        service.steer(&Steer { leaving: Some(true), ..Steer::default() });
+        service.update_faults(&FaultUpdate { leaving: Some(true), ..FaultUpdate::default() });
     }
     let request = caller.request("GET", "/booking/week").body(Full::new(Bytes::new())).expect("request");
     let answer = caller.ask(request).await;
--- a/crates/standins/tests/e2e/stalled.rs
+++ b/crates/standins/tests/e2e/stalled.rs
@@ -1,4 +1,4 @@
-//! Callers whose connection stays open and takes nothing.
+//! Callers whose connection stays open but does not accept data.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,14 +18,14 @@
 
 use crate::world::{SMALL_PLAN, TOKEN, World, stop};
 
-/// Engines that write as fast as they are read, and note when they are told to stop.
+/// Engine client whose decode streams are always ready, and which reports cancellations.
 #[derive(Debug)]
-struct Eager {
+struct UnthrottledEngines {
     engines: Arc<dyn EngineClient>,
     cancelled: watch::Sender<bool>,
 }
 
-impl EngineClient for Eager {
+impl EngineClient for UnthrottledEngines {
     fn prefill(
         &self,
         to: SocketAddr,
@@ -76,17 +76,17 @@
     }
 }
 
-/// Something between caller and host has forgotten the caller's connection: it is never closed, and nothing sent
-/// into it arrives. Were it taken for a slow caller it would hold a decode slot until the host is replaced.
+/// A middlebox has dropped the state of a caller's connection: it is never closed, and sent data does not arrive. If it
+/// were treated as a slow caller, it would keep a decode slot until the host is replaced.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_who_takes_nothing_is_given_up_and_its_slot_released() {
+async fn stalled_caller_is_disconnected_and_its_slot_released() {
     let world = World::start(SMALL_PLAN).await;
     let mut settings = world.settings("entry-1", &[]);
     settings.limits.stall_timeout_ms = Millis(200);
     let incarnation = new_incarnation();
     let edges = ExternalSystems::new(&settings, incarnation);
     let (cancelled, mut is_cancelled) = watch::channel(false);
-    let engines = Arc::new(Eager { engines: Arc::clone(&edges.engines), cancelled });
+    let engines = Arc::new(UnthrottledEngines { engines: Arc::clone(&edges.engines), cancelled });
     let daemon = Daemon::start(&settings, ExternalSystems { engines, ..edges }, incarnation).expect("daemon");
     daemon.ready().await;
 
--- a/crates/standins/tests/e2e/streams.rs
+++ b/crates/standins/tests/e2e/streams.rs
@@ -1,8 +1,8 @@
-//! Answers that stay whole, and engine memory that is released, whatever breaks on the way.
+//! Complete answers and release of engine memory under disconnects and engine failures.
 
 use hibiscusvale_standins::engine::EngineState;
 use hibiscusvale_standins::engine_memory::ReportedStage;
-use hibiscusvale_standins::{EngineHandle, Steer, text};
+use hibiscusvale_standins::{EngineHandle, FaultUpdate, text};
 use rstest::rstest;
 
 use crate::world::{Caller, SMALL_PLAN, Served, World, stop, streamed_text};
@@ -17,8 +17,8 @@
     move |state| state.held.iter().any(|held| held.stage == stage)
 }
 
-/// The engine on which a request first reaches `stage`.
-async fn reached(world: &World, stage: ReportedStage) -> EngineHandle {
+/// Waits for the first engine with a request in `stage`.
+async fn wait_for_stage(world: &World, stage: ReportedStage) -> EngineHandle {
     let engines = world.standins.engines.iter().map(|(_, engine)| engine);
     let waits = engines.map(|engine| {
         Box::pin(async move {
@@ -29,62 +29,62 @@
     futures_util::future::select_all(waits).await.0
 }
 
-fn steer_all(world: &World, order: &Steer) {
+fn update_all_faults(world: &World, update: &FaultUpdate) {
     for (_, engine) in &world.standins.engines {
-        engine.steer(order);
+        engine.update_faults(update);
     }
 }
 
-/// A caller closes the connection while the request waits, is read, moved or answered. Unless each engine is told,
-/// it holds memory for nobody: a pool of twenty slots is gone after twenty such callers.
+/// A caller disconnects while its request is queued, prefilled, transferred or decoded. Unless each engine is notified,
+/// it keeps the memory: a pool of 20 slots is exhausted after 20 such callers.
 #[rstest]
 #[case::prefill(ReportedStage::Prefill)]
 #[case::transfer(ReportedStage::Transfer)]
 #[case::decode(ReportedStage::Decode)]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_who_leaves_frees_the_engines_at_each_step(#[case] stage: ReportedStage) {
+async fn caller_disconnect_releases_engines_at_each_stage(#[case] stage: ReportedStage) {
     let world = World::start(SMALL_PLAN).await;
     let daemon = world.daemon("entry-1").await;
-    steer_all(&world, &Steer { slow_factor: Some(20.0), ..Steer::default() });
+    update_all_faults(&world, &FaultUpdate { slow_factor: Some(20.0), ..FaultUpdate::default() });
     let caller = Caller::new(daemon.callers_address());
     let asked = tokio::spawn(async move { caller.complete(&long_prompt(), 20_000, false).await.status });
-    reached(&world, stage).await;
+    wait_for_stage(&world, stage).await;
     asked.abort();
-    assert!(asked.await.is_err(), "the caller had its answer before it left");
+    assert!(asked.await.is_err(), "the answer completed before the caller disconnected");
     world.engines_empty().await;
     stop(daemon).await;
 }
 
-/// The engine that writes an answer dies, or goes mute, in the middle. The caller notices a pause; prompt and tokens
-/// so far are read elsewhere, and its bytes are the same as without the failure.
+/// The decoding engine crashes or stops responding during an answer. Another engine must prefill the prompt and the
+/// tokens generated so far; the caller may see a pause, but must receive the same bytes as without the failure.
 #[rstest]
-#[case::dies(Steer { die: true, ..Steer::default() })]
-#[case::mute(Steer { mute: Some(true), silence: true, ..Steer::default() })]
+#[case::crashes(FaultUpdate { die: true, ..FaultUpdate::default() })]
+#[case::mute(FaultUpdate { mute: Some(true), silence: true, ..FaultUpdate::default() })]
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_goes_on_elsewhere_when_its_engine_fails(#[case] failure: Steer) {
+async fn answer_continues_on_another_engine_after_failure(#[case] failure: FaultUpdate) {
     let Served { world, daemon, caller } = Served::start().await;
     let asked = tokio::spawn(async move { caller.complete(&long_prompt(), TOKENS, true).await });
-    reached(&world, ReportedStage::Decode).await.steer(&failure);
+    wait_for_stage(&world, ReportedStage::Decode).await.update_faults(&failure);
     let answer = asked.await.expect("answer");
     let expected = text::expected_answer(&long_prompt(), usize::try_from(TOKENS).expect("small"));
     assert_eq!(streamed_text(&answer.body), Some(expected));
     daemon.kill();
 }
 
-/// A connection to an engine was forgotten by something in between: what is written into it is never answered,
-/// while new connections work. The caller notices a fraction of a second.
+/// A middlebox has dropped the state of a connection to an engine: requests on it get no response, while new connections
+/// work. The caller may see a delay of a fraction of a second, but the prompt must not be prefilled again.
 #[rstest]
-#[case::while_reading(ReportedStage::Prefill)]
-#[case::while_moving(ReportedStage::Transfer)]
+#[case::during_prefill(ReportedStage::Prefill)]
+#[case::during_transfer(ReportedStage::Transfer)]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_silent_connection_costs_no_second_prefill(#[case] stage: ReportedStage) {
+async fn stalled_connection_causes_no_second_prefill(#[case] stage: ReportedStage) {
     let world = World::start(SMALL_PLAN).await;
     let daemon = world.daemon("entry-1").await;
-    steer_all(&world, &Steer { slow_factor: Some(5.0), ..Steer::default() });
+    update_all_faults(&world, &FaultUpdate { slow_factor: Some(5.0), ..FaultUpdate::default() });
     let caller = Caller::new(daemon.callers_address());
     let asked = tokio::spawn(async move { caller.complete(&long_prompt(), 5, true).await });
-    reached(&world, stage).await;
-    steer_all(&world, &Steer { silence: true, ..Steer::default() });
+    wait_for_stage(&world, stage).await;
+    update_all_faults(&world, &FaultUpdate { silence: true, ..FaultUpdate::default() });
     let answer = asked.await.expect("answer");
     assert_eq!(streamed_text(&answer.body), Some(text::expected_answer(&long_prompt(), 5)));
     let prefills: usize = world
@@ -93,7 +93,7 @@
         .iter()
         .map(|(_, engine)| engine.state().work.values().filter(|work| work.prefills > 0).count())
         .sum();
-    assert_eq!(prefills, 1, "the prompt was read again");
+    assert_eq!(prefills, 1, "the prompt was prefilled again");
     world.engines_empty().await;
     stop(daemon).await;
 }
--- a/crates/standins/tests/e2e/world.rs
+++ b/crates/standins/tests/e2e/world.rs
@@ -1,4 +1,4 @@
-//! Stand-ins, daemons and a caller for the tests.
+//! Mock servers, daemons and a caller for the tests.
 
 use std::net::SocketAddr;
 
@@ -10,8 +10,8 @@
 use hibiscusvale_core::config::{ChangeBody, ClassChange, ClassTarget, Record};
 use hibiscusvale_core::ids::{ChangeId, Offset};
 use hibiscusvale_core::units::Millis;
-use hibiscusvale_standins::hosts::{HostChange, HostEntry, Kind, ListedState};
-use hibiscusvale_standins::plan::{Plan, Running};
+use hibiscusvale_standins::hosts::{HostChange, HostEntry, HostState, Kind};
+use hibiscusvale_standins::plan::{Plan, RunningPlan};
 use http::{HeaderMap, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -38,13 +38,13 @@
 /// Seed of the key that the partner signs its configuration with.
 const PUBLISH_SEED: [u8; 32] = [7; 32];
 
-/// Stand-ins and the settings that point daemons at them.
+/// Running mock servers, and settings for daemons that use them.
 pub struct World {
-    pub standins: Running,
+    pub standins: RunningPlan,
 }
 
 impl World {
-    /// Starts the stand-ins and publishes the classes `default`, for language, and `booking`.
+    /// Starts the mock servers and publishes the classes `default` (language) and `booking` (plain).
     pub async fn start(plan: &str) -> Self {
         let plan: Plan = toml::from_str(plan).expect("plan");
         let world = Self { standins: plan.start().await.expect("stand-ins") };
@@ -53,7 +53,7 @@
         world
     }
 
-    /// Publishes one class as the partner's operator does.
+    /// Publishes a class with the partner's key.
     pub async fn publish(&self, class: &str, target: ClassTarget) {
         let log = HttpLog::new(self.standins.addresses.log, HttpLogSettings::default());
         let made_from = self.last_change(&log).await;
@@ -106,12 +106,12 @@
         Settings::parse(&text).expect("settings")
     }
 
-    /// Starts a daemon and waits until it can serve.
+    /// Starts a daemon and waits until it is ready.
     pub async fn daemon(&self, host: &str) -> Daemon {
         self.daemon_beside(host, &[]).await
     }
 
-    /// Starts a daemon that knows of others, waits until it can serve, and has it listed by the platform.
+    /// Starts a daemon with `others` as seeds, waits until it is ready, and adds it to the host list.
     pub async fn daemon_beside(&self, host: &str, others: &[&Daemon]) -> Daemon {
         let seeds: Vec<_> = others.iter().map(|daemon| daemon.peer_address()).collect();
         let settings = self.settings(host, &seeds);
@@ -123,14 +123,14 @@
         daemon
     }
 
-    /// Waits until an engine writes an answer.
+    /// Waits until an engine decodes a request.
     pub async fn decoding(&self) {
         let decoders = self.standins.engines.iter().filter(|(name, _)| name.starts_with("decode"));
         let waits = decoders.map(|(_, engine)| Box::pin(engine.wait_until(|state| !state.held.is_empty())));
         futures_util::future::select_all(waits).await;
     }
 
-    /// Waits until no engine holds anything.
+    /// Waits until no engine holds a request.
     pub async fn engines_empty(&self) {
         for (_, engine) in &self.standins.engines {
             engine.wait_empty().await;
@@ -147,7 +147,7 @@
         data_centre: "casa-1".to_owned(),
         region: "ma-north".to_owned(),
         partner: None,
-        state: ListedState::Live,
+        state: HostState::Live,
         service: None,
         models: Vec::new(),
         role: None,
@@ -157,7 +157,7 @@
     }
 }
 
-/// Stops a daemon gracefully from inside a runtime.
+/// Stops a daemon gracefully from within an async runtime.
 pub async fn stop(daemon: Daemon) {
     tokio::task::spawn_blocking(move || daemon.stop()).await.expect("stopped");
 }
@@ -169,7 +169,7 @@
     to: SocketAddr,
 }
 
-/// One daemon in front of the small plan, and a caller of it.
+/// A daemon in front of `SMALL_PLAN`, and a caller.
 pub struct Served {
     pub world: World,
     pub daemon: Daemon,
@@ -185,7 +185,7 @@
     }
 }
 
-/// An answer, read to its end or to where it broke off.
+/// A response, read until its end or until the connection failed.
 pub struct Answer {
     pub status: StatusCode,
     pub headers: HeaderMap,
@@ -231,7 +231,7 @@
         Answer { status: parts.status, headers: parts.headers, body, whole }
     }
 
-    /// Books a flat under an idempotency key or with a ticket, as `named` says.
+    /// Books a flat with the header `named`: an idempotency key or a ticket.
     pub async fn book(&self, flat: &str, named: (&str, &str)) -> Answer {
         let request = self.request("POST", &format!("/booking/new?flat={flat}")).header(named.0, named.1);
         self.ask(request.body(Full::new(Bytes::from_static(b"{}"))).expect("request")).await
@@ -249,7 +249,7 @@
     }
 }
 
-/// The text of a streamed answer, if it ended as a whole one.
+/// Returns the text of a streamed answer; `None` if it is incomplete.
 pub fn streamed_text(body: &str) -> Option<String> {
     let mut text = String::new();
     for line in body.lines().filter_map(|line| line.strip_prefix("data: ")) {
--- a/crates/standins/tests/standins/engine.rs
+++ b/crates/standins/tests/standins/engine.rs
@@ -4,7 +4,7 @@
 use hibiscusvale_standins::client::{call, post_json};
 use hibiscusvale_standins::engine::Role;
 use hibiscusvale_standins::text::expected_answer;
-use hibiscusvale_standins::{Engine, EngineHandle, EngineSettings, Steer};
+use hibiscusvale_standins::{Engine, EngineHandle, EngineSettings, FaultUpdate};
 use http::{Method, StatusCode};
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -53,7 +53,7 @@
 }
 
 #[tokio::test]
-async fn whole_path_writes_the_expected_answer_and_holds_nothing_after() {
+async fn full_request_returns_expected_answer_and_releases_memory() {
     let source = engine(Role::Prefill, 10_000).await;
     let target = engine(Role::Decode, 10_000).await;
     let answer = prefill(&source, "r1").await;
@@ -67,10 +67,10 @@
     assert_eq!(decode(&target, "r1", 3).await, expected_answer(PROMPT, 8)[12..]);
 }
 
-/// An engine dies after three tokens. Another one is given the prompt and these, and goes on with the fourth:
-/// the caller sees one answer.
+/// An engine fails after three tokens. Another engine receives the prompt and these tokens and must continue with the
+/// fourth, so that the caller sees one answer.
 #[tokio::test]
-async fn prompt_with_tokens_so_far_is_continued_as_before() {
+async fn resumed_prompt_continues_identically() {
     let source = engine(Role::Prefill, 10_000).await;
     let target = engine(Role::Decode, 10_000).await;
     let whole = expected_answer(PROMPT, 8);
@@ -82,10 +82,9 @@
     assert_eq!(decode(&target, "r1", 3).await, whole[12..]);
 }
 
-/// A prefill result is evicted before anybody imports it. The import is refused, and the work counts as
-/// thrown away.
+/// A prefill result is evicted before it is imported. The import must fail, and the work counts as wasted.
 #[tokio::test]
-async fn late_import_finds_the_result_gone() {
+async fn import_after_eviction_fails() {
     let source = engine(Role::Prefill, 1).await;
     let target = engine(Role::Decode, 1).await;
     prefill(&source, "r1").await;
@@ -96,7 +95,7 @@
 }
 
 #[tokio::test]
-async fn second_import_is_refused_while_the_one_slot_is_taken() {
+async fn import_without_free_slot_is_rejected() {
     let source = engine(Role::Prefill, 10_000).await;
     let target = engine(Role::Decode, 10_000).await;
     prefill(&source, "r1").await;
@@ -119,15 +118,15 @@
     assert_eq!(source.state().counters.cancelled_tokens, 14);
 }
 
-/// The reply to a prefill is lost after the work was done. The caller asks again and gets the same result,
-/// without a second prefill.
+/// The response to a prefill is lost after the work is done. A retry must return the same result without a second
+/// prefill.
 #[tokio::test]
-async fn lost_reply_can_be_asked_again() {
+async fn prefill_with_lost_response_can_be_retried() {
     let source = engine(Role::Prefill, 10_000).await;
-    source.steer(&Steer { lose_replies: Some(1), ..Steer::default() });
+    source.update_faults(&FaultUpdate { lose_replies: Some(1), ..FaultUpdate::default() });
     let body = with(named("r1"), &json!({"model": "small", "prompt": PROMPT}));
     let lost = call(source.address, Method::POST, "/engine/prefill", body.to_string().into()).await;
-    assert!(lost.is_err(), "the reply came although it was to be lost");
+    assert!(lost.is_err(), "the response was not dropped");
     prefill(&source, "r1").await;
     assert_eq!(source.state().counters.prefill_tokens, 14);
 }
@@ -136,7 +135,7 @@
 #[case::checks(true, StatusCode::CONFLICT)]
 #[case::ignores(false, StatusCode::OK)]
 #[tokio::test]
-async fn old_fencing_number_is_refused_only_by_engines_that_check(
+async fn stale_fencing_token_is_rejected_only_by_checking_engines(
     #[case] checks_fencing: bool,
     #[case] expected: StatusCode,
 ) {
@@ -148,10 +147,10 @@
     assert_eq!(post(engine.address, "/engine/order", &order("a", 7)).await.0, StatusCode::OK);
 }
 
-/// Something between two ends loses track of a connection: it stays open and nothing moves on it any more,
-/// while new connections work. The one that gave the order still gets its answer.
+/// A middlebox drops the state of a connection: it stays open but transfers no data, while new connections work. The
+/// connection that injected the fault must still get its response.
 #[tokio::test]
-async fn silenced_connection_stays_open_and_new_ones_work() {
+async fn stalled_connection_stays_open_and_new_ones_work() {
     let source = engine(Role::Prefill, 10_000).await;
     let mut old = TcpStream::connect(source.address).await.unwrap();
     let ask = format!("GET /engine/load HTTP/1.1\r\nhost: {}\r\n\r\n", source.address);
--- a/crates/standins/tests/standins/load.rs
+++ b/crates/standins/tests/standins/load.rs
@@ -1,11 +1,11 @@
-//! The load tool must notice a front that loses, doubles or lies; each front here does one of these.
+//! The load generator must detect lost, duplicated and falsely reported requests; each proxy here causes one of these.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use bytes::Bytes;
 use futures_util::future::BoxFuture;
-use hibiscusvale_standins::http::{Body, Handler, serve, whole};
+use hibiscusvale_standins::http::{Body, Handler, serve, with_body};
 use hibiscusvale_standins::load::audit::Audit;
 use hibiscusvale_standins::load::caller::send_all;
 use hibiscusvale_standins::load::report::Report;
@@ -21,36 +21,36 @@
 use serde_json::{Value, json};
 
 #[derive(Clone, Copy, Debug)]
-enum Front {
-    Honest,
-    RunsTwice,
-    DeniesWhatRan,
-    AnswersWithoutRunning,
-    CutsTheAnswerShort,
-    DoublesAToken,
-    NamesNoOutcome,
+enum ProxyFault {
+    NoFault,
+    ExecutesTwice,
+    ReportsExecutedAsNotRun,
+    AnswersWithoutExecuting,
+    TruncatesAnswer,
+    DuplicatesToken,
+    OmitsOutcome,
 }
 
-struct Server {
-    front: Front,
+struct FaultyProxy {
+    fault: ProxyFault,
     service: SocketAddr,
 }
 
 fn answer(outcome: &'static str, body: Bytes) -> Response<Body> {
-    let mut response = whole(StatusCode::OK, body);
+    let mut response = with_body(StatusCode::OK, body);
     response.headers_mut().insert("x-outcome", HeaderValue::from_static(outcome));
     response.headers_mut().insert("x-request-id", HeaderValue::from_static("1-1"));
     response
 }
 
-impl Server {
+impl FaultyProxy {
     async fn forward(&self, request: Request<Incoming>) -> Bytes {
         let (mut parts, body) = request.into_parts();
         let body = body.collect().await.unwrap().to_bytes();
         parts.uri = format!("http://{}{}", self.service, parts.uri.path()).parse().unwrap();
         parts.headers.insert("x-request-id", HeaderValue::from_static("1-1"));
         let client = Client::builder(TokioExecutor::new()).build_http();
-        let times = if matches!(self.front, Front::RunsTwice) { 2 } else { 1 };
+        let times = if matches!(self.fault, ProxyFault::ExecutesTwice) { 2 } else { 1 };
         let mut last = Bytes::new();
         for _ in 0..times {
             let request = Request::from_parts(parts.clone(), Full::new(body.clone()));
@@ -60,13 +60,13 @@
     }
 
     async fn plain(&self, request: Request<Incoming>) -> Response<Body> {
-        match self.front {
-            Front::AnswersWithoutRunning => answer("answered", Bytes::from_static(b"{}")),
-            Front::DeniesWhatRan => {
+        match self.fault {
+            ProxyFault::AnswersWithoutExecuting => answer("answered", Bytes::from_static(b"{}")),
+            ProxyFault::ReportsExecutedAsNotRun => {
                 self.forward(request).await;
                 answer("not-run", Bytes::new())
             }
-            Front::NamesNoOutcome => whole(StatusCode::OK, self.forward(request).await),
+            ProxyFault::OmitsOutcome => with_body(StatusCode::OK, self.forward(request).await),
             _ => answer("answered", self.forward(request).await),
         }
     }
@@ -76,9 +76,9 @@
         let asked: Value = serde_json::from_slice(&body).unwrap();
         let tokens = usize::try_from(asked["max_tokens"].as_u64().unwrap()).unwrap();
         let mut text = expected_answer(asked["prompt"].as_str().unwrap(), tokens);
-        match self.front {
-            Front::CutsTheAnswerShort => text.truncate(text.len() - 4),
-            Front::DoublesAToken => {
+        match self.fault {
+            ProxyFault::TruncatesAnswer => text.truncate(text.len() - 4),
+            ProxyFault::DuplicatesToken => {
                 let last = text[text.len() - 4..].to_owned();
                 text.push_str(&last);
             }
@@ -89,7 +89,7 @@
     }
 }
 
-impl Handler for Server {
+impl Handler for FaultyProxy {
     fn handle(self: Arc<Self>, request: Request<Incoming>) -> BoxFuture<'static, Response<Body>> {
         Box::pin(async move {
             if request.uri().path() == "/v1/completions" {
@@ -101,9 +101,9 @@
     }
 }
 
-async fn report(front: Front) -> (Report, PlainHandle) {
+async fn report(fault: ProxyFault) -> (Report, PlainHandle) {
     let service = PlainService::start(PlainSettings::default()).await.unwrap();
-    let server = Arc::new(Server { front, service: service.address });
+    let server = Arc::new(FaultyProxy { fault, service: service.address });
     let address = "127.0.0.1:0".parse().unwrap();
     let daemon = serve(address, server, Arc::new(Faults::default())).await.unwrap();
     let flow = |kind| Flow {
@@ -127,16 +127,16 @@
 }
 
 #[rstest]
-#[case::honest(Front::Honest, (0, 0), 0)]
-#[case::runs_twice(Front::RunsTwice, (0, 0), 1)]
-#[case::denies_what_ran(Front::DeniesWhatRan, (0, 0), 1)]
-#[case::answers_without_running(Front::AnswersWithoutRunning, (1, 0), 0)]
-#[case::cuts_the_answer_short(Front::CutsTheAnswerShort, (0, 1), 0)]
-#[case::doubles_a_token(Front::DoublesAToken, (0, 1), 0)]
-#[case::names_no_outcome(Front::NamesNoOutcome, (1, 0), 0)]
+#[case::no_fault(ProxyFault::NoFault, (0, 0), 0)]
+#[case::executes_twice(ProxyFault::ExecutesTwice, (0, 0), 1)]
+#[case::reports_executed_as_not_run(ProxyFault::ReportsExecutedAsNotRun, (0, 0), 1)]
+#[case::answers_without_executing(ProxyFault::AnswersWithoutExecuting, (1, 0), 0)]
+#[case::truncates_answer(ProxyFault::TruncatesAnswer, (0, 1), 0)]
+#[case::duplicates_token(ProxyFault::DuplicatesToken, (0, 1), 0)]
+#[case::omits_outcome(ProxyFault::OmitsOutcome, (1, 0), 0)]
 #[tokio::test]
-async fn flaw_is_counted(#[case] front: Front, #[case] lost: (usize, usize), #[case] doubled: usize) {
-    let (report, _service) = report(front).await;
+async fn fault_is_detected(#[case] fault: ProxyFault, #[case] lost: (usize, usize), #[case] doubled: usize) {
+    let (report, _service) = report(fault).await;
     let (once, completion) = (&report.rows[0], &report.rows[1]);
     assert_eq!((once.lost, completion.lost), lost, "{report}");
     assert_eq!(once.doubled, doubled, "{report}");
--- a/crates/standins/tests/standins/main.rs
+++ b/crates/standins/tests/standins/main.rs
@@ -1,4 +1,4 @@
-//! The stand-ins keep to `docs/INTERFACES.md` and to the failures that they are steered into.
+//! The mock servers conform to `docs/INTERFACES.md` and apply the injected faults.
 
 mod engine;
 mod load;
--- a/crates/standins/tests/standins/platform.rs
+++ b/crates/standins/tests/standins/platform.rs
@@ -4,12 +4,12 @@
 use hibiscusvale_standins::client::{call, get_json, post_json};
 use hibiscusvale_standins::hosts::HostChange;
 use hibiscusvale_standins::{
-    HostList, HostListSettings, LogService, LogSettings, PlainService, PlainSettings, Steer,
+    FaultUpdate, HostList, HostListSettings, LogService, LogSettings, PlainService, PlainSettings,
 };
 use http::{Method, StatusCode};
 use serde_json::{Value, json};
 
-fn kernel_chooses() -> SocketAddr {
+fn any_port() -> SocketAddr {
     "127.0.0.1:0".parse().unwrap()
 }
 
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test]
-async fn log_gives_consecutive_offsets_and_forgets_the_oldest() {
+async fn log_assigns_consecutive_offsets_and_expires_oldest() {
     let log = LogService::start(LogSettings::default()).await.unwrap();
     let two = json!({"records": ["aGk=", "aG8="]});
     let first: Value = post_json(log.address, "/log/config/append", &two).await.unwrap();
@@ -32,35 +32,33 @@
     assert_eq!(page["records"], json!([{"offset": 1, "data": "aG8="}, {"offset": 2, "data": "aGk="}]));
 }
 
-/// The log takes only so many appends a second and has outages. Whoever writes too fast or too early is
-/// told so, and nothing is stored.
+/// The log limits its append rate and can be unavailable. In both cases an append must be rejected and nothing stored.
 #[tokio::test]
-async fn log_refuses_over_its_rate_and_in_an_outage() {
+async fn log_rejects_appends_over_rate_and_when_unavailable() {
     let settings = LogSettings { appends_per_s: 0, ..LogSettings::default() };
     let log = LogService::start(settings).await.unwrap();
-    log.steer(&Steer { outage: Some(true), ..Steer::default() });
+    log.update_faults(&FaultUpdate { outage: Some(true), ..FaultUpdate::default() });
     assert_eq!(append(log.address).await, StatusCode::SERVICE_UNAVAILABLE);
-    log.steer(&Steer { outage: Some(false), ..Steer::default() });
+    log.update_faults(&FaultUpdate { outage: Some(false), ..FaultUpdate::default() });
     assert_eq!(append(log.address).await, StatusCode::TOO_MANY_REQUESTS);
     assert!(log.records("config").is_empty());
 }
 
-/// One data centre is cut off from the log while another is not: each uses an address of its own to the
-/// same records.
+/// One data centre is partitioned from the log while another is not: each uses its own address to the same store.
 #[tokio::test]
 async fn shared_log_fails_at_one_address_only() {
     let log = LogService::start(LogSettings::default()).await.unwrap();
-    let other = log.share(kernel_chooses()).await.unwrap();
-    other.steer(&Steer { outage: Some(true), ..Steer::default() });
+    let other = log.serve_at(any_port()).await.unwrap();
+    other.update_faults(&FaultUpdate { outage: Some(true), ..FaultUpdate::default() });
     assert_eq!(append(other.address).await, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(append(log.address).await, StatusCode::OK);
-    other.steer(&Steer { outage: Some(false), ..Steer::default() });
+    other.update_faults(&FaultUpdate { outage: Some(false), ..FaultUpdate::default() });
     assert_eq!(append(other.address).await, StatusCode::OK);
     assert_eq!(log.records("config").len(), 2);
 }
 
 #[tokio::test]
-async fn reader_that_waits_sees_the_append() {
+async fn waiting_reader_receives_append() {
     let log = LogService::start(LogSettings::default()).await.unwrap();
     let address = log.address;
     let reader =
@@ -86,20 +84,24 @@
     assert_eq!(after["set"][0]["id"], "e");
     let same: Value = get_json(list.address, "/hosts?after=2&wait_ms=0").await.unwrap();
     assert_eq!(same, json!({"version": 2, "entries": null, "set": [], "remove": []}));
-    let whole: Value = get_json(list.address, "/hosts?after=0&wait_ms=0").await.unwrap();
-    assert_eq!(whole["entries"][0]["id"], "e");
+    let full: Value = get_json(list.address, "/hosts?after=0&wait_ms=0").await.unwrap();
+    assert_eq!(full["entries"][0]["id"], "e");
 }
 
-/// A plain instance drains: it says so and has not run the call. Another one loses its reply: that call ran.
+/// A draining instance rejects a call without executing it; a call whose response is dropped has been executed.
 #[tokio::test]
-async fn ledger_shows_what_ran() {
+async fn ledger_contains_executed_calls() {
     let service = PlainService::start(PlainSettings::default()).await.unwrap();
     let book = || call(service.address, Method::POST, "/book", Bytes::from_static(b"flat 3"));
-    service.steer(&Steer { leaving: Some(true), ..Steer::default() });
+    service.update_faults(&FaultUpdate { leaving: Some(true), ..FaultUpdate::default() });
     assert_eq!(book().await.unwrap().0, StatusCode::SERVICE_UNAVAILABLE);
     assert!(service.ledger().is_empty());
-    service.steer(&Steer { leaving: Some(false), lose_replies: Some(1), ..Steer::default() });
-    assert!(book().await.is_err(), "the reply came although it was to be lost");
+    service.update_faults(&FaultUpdate {
+        leaving: Some(false),
+        lose_replies: Some(1),
+        ..FaultUpdate::default()
+    });
+    assert!(book().await.is_err(), "the response was not dropped");
     assert_eq!(book().await.unwrap().0, StatusCode::OK);
     assert_eq!(service.ledger().len(), 2);
 }
