--- a/crates/standins/benches/claims.rs
+++ b/crates/standins/benches/claims.rs
@@ -3,15 +3,15 @@
 #![allow(clippy::pedantic, reason = "a benchmark over test helpers")]
 #![allow(dead_code, reason = "other helpers are used only by the tests")]
 
-#[path = "../tests/e2e/world.rs"]
-mod world;
+#[path = "../tests/e2e/cluster.rs"]
+mod cluster;
 
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
+use cluster::{Caller, TestCluster, stop};
 use hdrhistogram::Histogram;
 use http_body_util::Full;
-use world::{Caller, World, stop};
 
 const PLAN: &str = r#"
     [[plain]]
@@ -38,12 +38,12 @@
         Kind::Keyed => caller.request("POST", "/booking/new").header("idempotency-key", key),
     };
     let started = Instant::now();
-    let answer = caller.ask(request.body(Full::new(Bytes::from_static(b"{}"))).expect("request")).await;
+    let answer = caller.fetch(request.body(Full::new(Bytes::from_static(b"{}"))).expect("request")).await;
     (answer.outcome() == "answered", started.elapsed().as_micros() as u64)
 }
 
-fn appends(world: &World) -> u64 {
-    let streams = world.standins.log.appends();
+fn appends(cluster: &TestCluster) -> u64 {
+    let streams = cluster.standins.log.appends();
     streams.iter().filter(|(stream, _)| stream.starts_with("claims")).map(|(_, count)| count).sum()
 }
 
@@ -88,20 +88,20 @@
 
 #[tokio::main]
 async fn main() {
-    let world = World::start(PLAN).await;
-    let first = world.daemon("entry-1").await;
-    let second = world.daemon_beside("entry-2", &[&first]).await;
-    let third = world.daemon_beside("entry-3", &[&first, &second]).await;
+    let cluster = TestCluster::start(PLAN).await;
+    let first = cluster.daemon("entry-1").await;
+    let second = cluster.daemon_with_peers("entry-2", &[&first]).await;
+    let third = cluster.daemon_with_peers("entry-3", &[&first, &second]).await;
     let callers: Vec<Caller> =
         [&first, &second, &third].iter().map(|daemon| Caller::new(daemon.callers_address())).collect();
     run_sequential(&callers, Kind::Plain).await;
     for (name, kind) in [("plain", Kind::Plain), ("at most once", Kind::Keyed)] {
-        let before = appends(&world);
+        let before = appends(&cluster);
         let (times, answered) = run_sequential(&callers, kind).await;
-        print(&format!("{name}, alone"), SEQUENTIAL_CALLS, answered, &times, appends(&world) - before);
-        let before = appends(&world);
+        print(&format!("{name}, alone"), SEQUENTIAL_CALLS, answered, &times, appends(&cluster) - before);
+        let before = appends(&cluster);
         let (times, answered) = run_burst(&callers, kind).await;
-        print(&format!("{name}, 1,000/s"), BURST_CALLS, answered, &times, appends(&world) - before);
+        print(&format!("{name}, 1,000/s"), BURST_CALLS, answered, &times, appends(&cluster) - before);
     }
     for daemon in [first, second, third] {
         stop(daemon).await;
--- a/crates/standins/src/control.rs
+++ b/crates/standins/src/control.rs
@@ -105,7 +105,7 @@
     }
 
     /// Returns `time` scaled by the current slow factor.
-    pub fn stretch(&self, time: Duration) -> Duration {
+    pub fn scale_time(&self, time: Duration) -> Duration {
         let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
         let slow = self.slow_per_mille.load(Ordering::SeqCst);
         Duration::from_micros(micros.saturating_mul(slow) / PER_MILLE)
--- a/crates/standins/src/engine/orders.rs
+++ b/crates/standins/src/engine/orders.rs
@@ -76,7 +76,7 @@
                 return;
             };
             let millis = weights.bytes.saturating_mul(1_000) / weights.rate_bytes_per_s.max(1);
-            sleep(self.faults.stretch(Duration::from_millis(millis))).await;
+            sleep(self.faults.scale_time(Duration::from_millis(millis))).await;
         }
         self.orders.lock().models.insert(model);
         self.changes.send_modify(|count| *count += 1);
--- a/crates/standins/src/engine/transfer.rs
+++ b/crates/standins/src/engine/transfer.rs
@@ -106,7 +106,7 @@
             post_json(call.source, "/standin/export", &export).await.map_err(|_| SourceGone)?;
         let kv_bytes = prompt.tokens() * self.settings.kv_bytes_per_token;
         *self.transfers.lock() += 1;
-        sleep(self.faults.stretch(self.transfer_time(kv_bytes, call.rate_bytes_per_s))).await;
+        sleep(self.faults.scale_time(self.transfer_time(kv_bytes, call.rate_bytes_per_s))).await;
         *self.transfers.lock() -= 1;
         let released: Released =
             post_json(call.source, "/standin/exported", &export).await.map_err(|_| SourceGone)?;
--- a/crates/standins/src/engine/work.rs
+++ b/crates/standins/src/engine/work.rs
@@ -164,7 +164,7 @@
 
     async fn run_prefill(&self, id: &str, tokens: u64) {
         let work = Duration::from_micros(tokens * self.settings.prefill_us_per_token);
-        let work = self.faults.stretch(work);
+        let work = self.faults.scale_time(work);
         let started = Instant::now();
         let mut changes = self.changes.subscribe();
         let cancelled =
@@ -195,7 +195,7 @@
                 continue;
             }
             let step = self.settings.decode_step_us + batch * self.settings.decode_step_us_per_request;
-            sleep(self.faults.stretch(Duration::from_micros(step))).await;
+            sleep(self.faults.scale_time(Duration::from_micros(step))).await;
             self.change(crate::engine_memory::Memory::decode_step);
         }
     }
@@ -210,14 +210,14 @@
         let Some(reader) = reader else {
             return Refusal::Gone(true).response();
         };
-        let position = Position {
+        let cursor = StreamCursor {
             engine: Arc::clone(self),
             id: call.request_id,
             reader,
             index: call.from_index,
             ended: false,
         };
-        let lines = stream::unfold(position, Position::advance);
+        let lines = stream::unfold(cursor, StreamCursor::advance);
         let frames = lines.map(|bytes| Ok::<_, Infallible>(Frame::data(bytes)));
         Response::new(StreamBody::new(frames).boxed_unsync())
     }
@@ -246,7 +246,7 @@
 }
 
 /// Read position in a token stream.
-struct Position {
+struct StreamCursor {
     engine: Arc<Engine>,
     id: String,
     reader: u64,
@@ -254,7 +254,7 @@
     ended: bool,
 }
 
-impl Position {
+impl StreamCursor {
     async fn advance(mut self) -> Option<(Bytes, Self)> {
         if self.ended {
             return None;
--- a/crates/standins/src/engine_cache.rs
+++ b/crates/standins/src/engine_cache.rs
@@ -57,7 +57,7 @@
     }
 
     /// Returns how many leading `blocks` are cached and marks them as used.
-    pub(crate) fn hit(&mut self, blocks: &[String]) -> usize {
+    pub(crate) fn count_hits(&mut self, blocks: &[String]) -> usize {
         self.uses += 1;
         let uses = self.uses;
         let mut hits = 0;
--- a/crates/standins/src/engine_memory.rs
+++ b/crates/standins/src/engine_memory.rs
@@ -137,7 +137,7 @@
     pub(crate) fn start_prefill(&mut self) -> Option<(String, u64)> {
         let queued = self.held.iter_mut().filter(|(_, held)| held.stage == Stage::Queued);
         let (id, held) = queued.min_by_key(|(_, held)| (held.priority, held.arrival))?;
-        let hits = self.cache.hit(&prefix_blocks(&held.prompt.text()));
+        let hits = self.cache.count_hits(&prefix_blocks(&held.prompt.text()));
         held.stage = Stage::Prefilling;
         held.cached_tokens = ((hits * BLOCK_BYTES / TOKEN_BYTES) as u64).min(held.prompt_tokens);
         Some((id.clone(), held.prompt_tokens - held.cached_tokens))
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -92,7 +92,7 @@
     H: Handler,
 {
     let is_control = Arc::new(AtomicBool::new(false));
-    let faulty = FaultyStream {
+    let transport = FaultyStream {
         opened_generation: faults.stall_generation(),
         faults: Arc::clone(&faults),
         is_control: Arc::clone(&is_control),
@@ -107,7 +107,7 @@
         async move { answer(request, handler, faults).await }
     });
     // Connection errors are ignored; the handler's own records show which requests were executed.
-    let _ = http1::Builder::new().serve_connection(TokioIo::new(faulty), service).await;
+    let _ = http1::Builder::new().serve_connection(TokioIo::new(transport), service).await;
 }
 
 async fn answer<H>(
--- a/crates/standins/src/load/audit.rs
+++ b/crates/standins/src/load/audit.rs
@@ -67,7 +67,7 @@
     ///
     /// # Errors
     /// A plain instance does not respond, so its ledger is missing.
-    pub async fn take(addresses: &Addresses) -> Result<Self, CallError> {
+    pub async fn collect(addresses: &Addresses) -> Result<Self, CallError> {
         let mut audit = Self::default();
         let started = Instant::now();
         loop {
@@ -117,7 +117,7 @@
     }
 
     /// Prefill work for the caller's `request_id`; the router may append a suffix for each of its own attempts.
-    pub fn work_of(&self, request_id: &str) -> Work {
+    pub fn prefill_work(&self, request_id: &str) -> Work {
         let named = self.work.range(request_id.to_owned()..);
         let named = named.take_while(|(id, _)| id.starts_with(request_id));
         let own =
--- a/crates/standins/src/load/cmd/mixed.rs
+++ b/crates/standins/src/load/cmd/mixed.rs
@@ -34,7 +34,7 @@
         let addresses: Addresses =
             serde_json::from_slice(&addresses).context("could not parse the addresses")?;
         let records = send_all(&plan).await;
-        let audit = Audit::take(&addresses).await?;
+        let audit = Audit::collect(&addresses).await?;
         let report = Report::new(&plan, &records, &audit);
         print!("{report}");
         if let Some(path) = &self.json {
--- a/crates/standins/src/load/flow_stats.rs
+++ b/crates/standins/src/load/flow_stats.rs
@@ -150,7 +150,7 @@
             let Some(request_id) = &call.request_id else {
                 continue;
             };
-            let work = audit.work_of(request_id);
+            let work = audit.prefill_work(request_id);
             let used = if call.outcome == Outcome::Answered { work.used_tokens } else { 0 };
             self.prefill_tokens += work.tokens;
             self.wasted_prefill_tokens += work.tokens - used;
--- a/crates/standins/src/load/report.rs
+++ b/crates/standins/src/load/report.rs
@@ -36,10 +36,10 @@
             .collect();
         let planned: usize = plan.flows.iter().map(|flow| flow.count).sum();
         let counted: usize = rows.iter().map(|row| row.sent).sum();
-        let flawless = rows.iter().all(|row| row.lost == 0 && row.doubled == 0);
+        let no_faults = rows.iter().all(|row| row.lost == 0 && row.doubled == 0);
         Self {
             seed: plan.seed,
-            clean: flawless && counted == planned && audit.engines.held == 0,
+            clean: no_faults && counted == planned && audit.engines.held == 0,
             rows,
             engines: audit.engines,
         }
--- a/crates/standins/src/plain.rs
+++ b/crates/standins/src/plain.rs
@@ -155,7 +155,7 @@
         };
         let number = self.record(execution.clone());
         let time = Duration::from_micros(self.settings.service_time_us);
-        sleep(self.faults.stretch(time)).await;
+        sleep(self.faults.scale_time(time)).await;
         let answer = PlainAnswer { service: self.settings.service.clone(), execution, number };
         json(StatusCode::OK, &answer)
     }
--- a/crates/standins/src/slopes/fit.rs
+++ b/crates/standins/src/slopes/fit.rs
@@ -15,9 +15,9 @@
         let count = points.len().max(1) as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
         let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
-        let spread: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-        let joint: f64 = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
-        let slope = if spread > 0.0 { joint / spread } else { 0.0 };
+        let squares_sum: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+        let products_sum: f64 = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
+        let slope = if squares_sum > 0.0 { products_sum / squares_sum } else { 0.0 };
         Self { base: mean_y - slope * mean_x, slope }
     }
 
--- a/crates/standins/src/slopes/procs.rs
+++ b/crates/standins/src/slopes/procs.rs
@@ -94,7 +94,7 @@
     pub fn run(self) -> anyhow::Result<()> {
         fs::create_dir_all(&self.dir).context("could not create the directory")?;
         let daemons = self.choose_addresses()?;
-        fs::write(self.dir.join("plan.toml"), self.stand_ins(&daemons))
+        fs::write(self.dir.join("plan.toml"), self.plan_toml(&daemons))
             .context("could not write the plan")?;
         fs::write(self.dir.join("daemons.json"), serde_json::to_vec_pretty(&daemons)?)
             .context("could not write the daemons")
@@ -133,7 +133,7 @@
         Ok(planned.collect())
     }
 
-    fn stand_ins(&self, daemons: &[PlannedDaemon]) -> String {
+    fn plan_toml(&self, daemons: &[PlannedDaemon]) -> String {
         let mut text = String::new();
         for daemon in daemons {
             let _ = writeln!(
@@ -171,7 +171,7 @@
 }
 
 /// Reads the addresses of the mock servers from `dir`.
-pub fn stand_ins(dir: &Path) -> anyhow::Result<Addresses> {
+pub fn mock_server_addresses(dir: &Path) -> anyhow::Result<Addresses> {
     let bytes =
         fs::read(dir.join("addresses.json")).context("could not read the addresses of the mock servers")?;
     Ok(serde_json::from_slice(&bytes)?)
@@ -181,7 +181,7 @@
     /// Writes one settings file per daemon.
     pub fn run(self) -> anyhow::Result<()> {
         let daemons = planned(&self.dir)?;
-        let addresses = stand_ins(&self.dir)?;
+        let addresses = mock_server_addresses(&self.dir)?;
         let key = ed25519_dalek::SigningKey::from_bytes(&PUBLISH_SEED).verifying_key();
         let publish_key = blake3::Hash::from_bytes(key.to_bytes()).to_hex();
         // Nothing listens on this port, so connections are refused as by an unreachable platform.
--- a/crates/standins/src/slopes/watch.rs
+++ b/crates/standins/src/slopes/watch.rs
@@ -16,7 +16,9 @@
 use hibiscusvale_standins::client::{get_json, post_json};
 use serde::{Deserialize, Serialize};
 
-use crate::procs::{PARTNER, PUBLISH_SEED, PlannedDaemon, cpu_time_us, memory_bytes, planned, stand_ins};
+use crate::procs::{
+    PARTNER, PUBLISH_SEED, PlannedDaemon, cpu_time_us, memory_bytes, mock_server_addresses, planned,
+};
 
 /// Poll interval while waiting for a change to be in force.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
@@ -288,7 +290,7 @@
     let key = SigningKey::from_bytes(&PUBLISH_SEED);
     let change = body.sign(&publisher, ChangeId(made_at.as_nanos()), &key);
     let records = vec![STANDARD.encode(Record::Change(change).encode())];
-    let log = stand_ins(dir)?.log;
+    let log = mock_server_addresses(dir)?.log;
     let appended: Appended = post_json(log, "/log/config/append", &Append { records }).await?;
     Ok(Offset(appended.first_offset))
 }
--- a/crates/standins/tests/e2e/bad_input.rs
+++ b/crates/standins/tests/e2e/bad_input.rs
@@ -17,13 +17,13 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::world::{Caller, SMALL_PLAN, TOKEN, World, stop};
+use crate::cluster::{Caller, SMALL_PLAN, TOKEN, TestCluster, stop};
 
 const PROMPT: &str = "The key is under the third stone.";
 const BODY_LIMIT: usize = 4_096;
 
-async fn daemon_with_tight_limits(world: &World) -> Daemon {
-    let mut settings = world.settings("entry-1", &[]);
+async fn daemon_with_tight_limits(cluster: &TestCluster) -> Daemon {
+    let mut settings = cluster.settings("entry-1", &[]);
     settings.limits.body_bytes = ByteCount(BODY_LIMIT as u64);
     settings.limits.body_timeout_ms = Millis(200);
     settings.limits.head_timeout_ms = Millis(200);
@@ -56,15 +56,15 @@
 }
 
 /// Asserts that no request reached a service and that another caller is served.
-async fn assert_unaffected(world: &World, daemon: &Daemon) {
-    for (name, service) in &world.standins.plain {
+async fn assert_unaffected(cluster: &TestCluster, daemon: &Daemon) {
+    for (name, service) in &cluster.standins.plain {
         assert!(service.ledger().is_empty(), "{name} executed a request");
     }
     let other = Caller::new(daemon.callers_address());
     let answer = other.complete(PROMPT, 4, false).await;
     let json: Value = serde_json::from_str(&answer.body).expect("json");
     assert_eq!(json["choices"][0]["text"], expected_answer(PROMPT, 4));
-    world.engines_empty().await;
+    cluster.wait_engines_empty().await;
 }
 
 /// Sends raw bytes and reads until the peer closes the connection.
@@ -125,8 +125,8 @@
     #[case] status: u16,
     #[case] reason: &str,
 ) {
-    let world = World::start(SMALL_PLAN).await;
-    let daemon = daemon_with_tight_limits(&world).await;
+    let cluster = TestCluster::start(SMALL_PLAN).await;
+    let daemon = daemon_with_tight_limits(&cluster).await;
     let request = Request::builder()
         .method("POST")
         .uri(format!("http://{}/v1/completions", daemon.callers_address()))
@@ -135,27 +135,27 @@
         .header(bad.header.0, bad.header.1)
         .body(Full::new(Bytes::from(bad.body)))
         .expect("request");
-    let answer = Caller::new(daemon.callers_address()).ask(request).await;
+    let answer = Caller::new(daemon.callers_address()).fetch(request).await;
     let problem: Value = serde_json::from_str(&answer.body).expect("problem");
     assert_eq!((answer.status.as_u16(), answer.outcome()), (status, "not-run"), "{problem}");
     assert_eq!(problem["type"], format!("urn:hibiscusvale:refusal:{reason}"));
     assert_eq!(problem["request_id"], answer.headers["x-request-id"].to_str().expect("text"));
     assert_eq!(events(&daemon, reason).await, 1);
-    assert_unaffected(&world, &daemon).await;
+    assert_unaffected(&cluster, &daemon).await;
     stop(daemon).await;
 }
 
 /// A chunked body exceeds the limit without announcing its length. The daemon must stop reading at the limit.
 #[tokio::test(flavor = "multi_thread")]
 async fn oversize_body_in_chunks_is_refused_at_the_limit() {
-    let world = World::start(SMALL_PLAN).await;
-    let daemon = daemon_with_tight_limits(&world).await;
+    let cluster = TestCluster::start(SMALL_PLAN).await;
+    let daemon = daemon_with_tight_limits(&cluster).await;
     let mut bytes = head("/booking/new", "transfer-encoding: chunked\r\n").into_bytes();
     bytes.extend(format!("{:x}\r\n{}\r\n0\r\n\r\n", 2 * BODY_LIMIT, "x".repeat(2 * BODY_LIMIT)).bytes());
     let answer = exchange(daemon.callers_address(), &bytes).await;
     assert!(answer.contains("body-too-large"), "{answer}");
     assert_eq!(events(&daemon, "body-too-large").await, 1);
-    assert_unaffected(&world, &daemon).await;
+    assert_unaffected(&cluster, &daemon).await;
     stop(daemon).await;
 }
 
@@ -163,8 +163,8 @@
 /// reach the service.
 #[tokio::test(flavor = "multi_thread")]
 async fn truncated_body_reaches_no_service() {
-    let world = World::start(SMALL_PLAN).await;
-    let daemon = daemon_with_tight_limits(&world).await;
+    let cluster = TestCluster::start(SMALL_PLAN).await;
+    let daemon = daemon_with_tight_limits(&cluster).await;
     let mut stream = TcpStream::connect(daemon.callers_address()).await.expect("connection");
     let half = head("/booking/new", "content-length: 100\r\n") + "{\"flat\": 7,";
     stream.write_all(half.as_bytes()).await.expect("sent");
@@ -172,7 +172,7 @@
     let answer = read_to_close(&mut stream).await;
     assert!(answer.is_empty() || answer.contains("body-truncated"), "{answer}");
     assert_eq!(events(&daemon, "body-truncated").await, 1);
-    assert_unaffected(&world, &daemon).await;
+    assert_unaffected(&cluster, &daemon).await;
     stop(daemon).await;
 }
 
@@ -185,12 +185,12 @@
 #[case::preface("PRI * HTTP".to_owned(), "", "head-too-slow")]
 #[tokio::test(flavor = "multi_thread")]
 async fn slow_sender_is_disconnected(#[case] sent: String, #[case] told: &str, #[case] event: &str) {
-    let world = World::start(SMALL_PLAN).await;
-    let daemon = daemon_with_tight_limits(&world).await;
+    let cluster = TestCluster::start(SMALL_PLAN).await;
+    let daemon = daemon_with_tight_limits(&cluster).await;
     let answer = exchange(daemon.callers_address(), sent.as_bytes()).await;
     assert!(answer.contains(told), "{answer}");
     assert_eq!(events(&daemon, event).await, 1);
-    assert_unaffected(&world, &daemon).await;
+    assert_unaffected(&cluster, &daemon).await;
     stop(daemon).await;
 }
 
@@ -202,16 +202,16 @@
 #[case::other_encoding("transfer-encoding: chunked, identity\r\n", "head-malformed")]
 #[tokio::test(flavor = "multi_thread")]
 async fn conflicting_lengths_do_not_smuggle_requests(#[case] lengths: &str, #[case] event: &str) {
-    let world = World::start(SMALL_PLAN).await;
-    let daemon = daemon_with_tight_limits(&world).await;
-    let hidden = head("/booking/hidden", "content-length: 0\r\n");
+    let cluster = TestCluster::start(SMALL_PLAN).await;
+    let daemon = daemon_with_tight_limits(&cluster).await;
+    let smuggled = head("/booking/hidden", "content-length: 0\r\n");
     let sent =
-        format!("{}0\r\n\r\n{hidden}", head("/booking/new", lengths).replace("connection: close\r\n", ""));
+        format!("{}0\r\n\r\n{smuggled}", head("/booking/new", lengths).replace("connection: close\r\n", ""));
     let answer = exchange(daemon.callers_address(), sent.as_bytes()).await;
     assert!(answer.starts_with("HTTP/1.1 400 "), "{answer}");
     assert_eq!(answer.matches("HTTP/1.1 ").count(), 1, "{answer}");
     assert_eq!(events(&daemon, event).await, 1);
-    assert_unaffected(&world, &daemon).await;
+    assert_unaffected(&cluster, &daemon).await;
     stop(daemon).await;
 }
 
@@ -223,13 +223,13 @@
 #[case::chunks_first("transfer-encoding: chunked\r\ncontent-length: 4\r\n")]
 #[tokio::test(flavor = "multi_thread")]
 async fn bytes_after_chunked_body_are_not_executed(#[case] lengths: &str) {
-    let world = World::start(SMALL_PLAN).await;
-    let daemon = daemon_with_tight_limits(&world).await;
-    let hidden = head("/booking/hidden", "content-length: 0\r\n");
+    let cluster = TestCluster::start(SMALL_PLAN).await;
+    let daemon = daemon_with_tight_limits(&cluster).await;
+    let smuggled = head("/booking/hidden", "content-length: 0\r\n");
     let open = head("/booking/new", lengths).replace("connection: close\r\n", "");
-    let answer = exchange(daemon.callers_address(), format!("{open}0\r\n\r\n{hidden}").as_bytes()).await;
+    let answer = exchange(daemon.callers_address(), format!("{open}0\r\n\r\n{smuggled}").as_bytes()).await;
     assert_eq!(answer.matches("HTTP/1.1 ").count(), 1, "{answer}");
-    let ledgers = world.standins.plain.iter().flat_map(|(_, service)| service.ledger());
+    let ledgers = cluster.standins.plain.iter().flat_map(|(_, service)| service.ledger());
     let paths: Vec<_> = ledgers.map(|execution| execution.path).collect();
     assert_eq!(paths, ["/booking/new"]);
     stop(daemon).await;
@@ -278,8 +278,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn rapid_reset_closes_only_its_own_connection() {
     const STREAMS: u32 = 20_000;
-    let world = World::start(SMALL_PLAN).await;
-    let daemon = daemon_with_tight_limits(&world).await;
+    let cluster = TestCluster::start(SMALL_PLAN).await;
+    let daemon = daemon_with_tight_limits(&cluster).await;
     let mut flood = [http2::PREFACE, &http2::frame(http2::SETTINGS, 0, 0, &[])].concat();
     let head = http2::head(&format!("Bearer {TOKEN}"));
     for stream in (1..).step_by(2).take(STREAMS as usize) {
@@ -307,7 +307,7 @@
         answer.len()
     );
     assert_eq!(events(&daemon, "reset-flood").await, 1);
-    let pages: usize = world.standins.plain.iter().map(|(_, service)| service.ledger().len()).sum();
+    let pages: usize = cluster.standins.plain.iter().map(|(_, service)| service.ledger().len()).sum();
     assert!(pages < STREAMS as usize / 10, "{pages} of {STREAMS} reset requests were run");
     stop(daemon).await;
 }
@@ -316,8 +316,8 @@
 /// memory and abort every request in flight; above the limit, requests must be rejected with `retry-after`.
 #[tokio::test(flavor = "multi_thread")]
 async fn bodies_over_memory_limit_are_rejected_until_memory_is_free() {
-    let world = World::start(SMALL_PLAN).await;
-    let mut settings = world.settings("entry-1", &[]);
+    let cluster = TestCluster::start(SMALL_PLAN).await;
+    let mut settings = cluster.settings("entry-1", &[]);
     settings.limits.body_bytes = ByteCount(4_096);
     settings.limits.held_body_bytes = ByteCount(8_192);
     let incarnation = new_incarnation();
@@ -329,19 +329,19 @@
         let body = Full::new(Bytes::from(vec![b' '; 3_000]));
         caller.request("POST", "/booking/new").body(body).expect("request")
     };
-    for (_, service) in &world.standins.plain {
+    for (_, service) in &cluster.standins.plain {
         service.update_faults(&FaultUpdate { mute: Some(true), ..FaultUpdate::default() });
     }
-    let (one, other) = tokio::join!(caller.ask(book()), caller.ask(book()));
+    let (one, other) = tokio::join!(caller.fetch(book()), caller.fetch(book()));
     let (held, refused) = if one.outcome() == "unknown" { (one, other) } else { (other, one) };
     assert_eq!(held.outcome(), "unknown", "{}", held.body);
     assert_eq!((refused.status.as_u16(), refused.outcome()), (503, "not-run"), "{}", refused.body);
     assert!(refused.body.contains("overloaded") && refused.headers.contains_key("retry-after"));
 
-    for (_, service) in &world.standins.plain {
+    for (_, service) in &cluster.standins.plain {
         service.update_faults(&FaultUpdate { mute: Some(false), ..FaultUpdate::default() });
     }
-    let answered = caller.ask(book()).await;
+    let answered = caller.fetch(book()).await;
     assert_eq!(answered.outcome(), "answered", "{}", answered.body);
     stop(daemon).await;
 }
@@ -350,19 +350,19 @@
 /// timeout, no other caller can connect.
 #[tokio::test(flavor = "multi_thread")]
 async fn idle_connections_do_not_block_callers_permanently() {
-    let world = World::start(SMALL_PLAN).await;
-    let mut settings = world.settings("entry-1", &[]);
+    let cluster = TestCluster::start(SMALL_PLAN).await;
+    let mut settings = cluster.settings("entry-1", &[]);
     settings.limits.connections = 2;
     settings.limits.head_timeout_ms = Millis(200);
     let incarnation = new_incarnation();
     let daemon =
         Daemon::start(&settings, ExternalSystems::new(&settings, incarnation), incarnation).expect("daemon");
     daemon.ready().await;
-    let mut silent = Vec::new();
+    let mut idle = Vec::new();
     for _ in 0..4 {
-        silent.push(TcpStream::connect(daemon.callers_address()).await.expect("connection"));
+        idle.push(TcpStream::connect(daemon.callers_address()).await.expect("connection"));
     }
-    assert_unaffected(&world, &daemon).await;
-    drop(silent);
+    assert_unaffected(&cluster, &daemon).await;
+    drop(idle);
     stop(daemon).await;
 }
--- a/crates/standins/tests/e2e/world.rs
+++ b/crates/standins/tests/e2e/cluster.rs
@@ -39,18 +39,18 @@
 const PUBLISH_SEED: [u8; 32] = [7; 32];
 
 /// Running mock servers, and settings for daemons that use them.
-pub struct World {
+pub struct TestCluster {
     pub standins: RunningPlan,
 }
 
-impl World {
+impl TestCluster {
     /// Starts the mock servers and publishes the classes `default` (language) and `booking` (plain).
     pub async fn start(plan: &str) -> Self {
         let plan: Plan = toml::from_str(plan).expect("plan");
-        let world = Self { standins: plan.start().await.expect("stand-ins") };
-        world.publish("default", ClassTarget::language(Millis(5_000), Millis(200))).await;
-        world.publish("booking", ClassTarget::plain(Millis(2_000))).await;
-        world
+        let cluster = Self { standins: plan.start().await.expect("stand-ins") };
+        cluster.publish("default", ClassTarget::language(Millis(5_000), Millis(200))).await;
+        cluster.publish("booking", ClassTarget::plain(Millis(2_000))).await;
+        cluster
     }
 
     /// Publishes a class with the partner's key.
@@ -108,11 +108,11 @@
 
     /// Starts a daemon and waits until it is ready.
     pub async fn daemon(&self, host: &str) -> Daemon {
-        self.daemon_beside(host, &[]).await
+        self.daemon_with_peers(host, &[]).await
     }
 
     /// Starts a daemon with `others` as seeds, waits until it is ready, and adds it to the host list.
-    pub async fn daemon_beside(&self, host: &str, others: &[&Daemon]) -> Daemon {
+    pub async fn daemon_with_peers(&self, host: &str, others: &[&Daemon]) -> Daemon {
         let seeds: Vec<_> = others.iter().map(|daemon| daemon.peer_address()).collect();
         let settings = self.settings(host, &seeds);
         let incarnation = new_incarnation();
@@ -124,14 +124,14 @@
     }
 
     /// Waits until an engine decodes a request.
-    pub async fn decoding(&self) {
+    pub async fn wait_decoding(&self) {
         let decoders = self.standins.engines.iter().filter(|(name, _)| name.starts_with("decode"));
         let waits = decoders.map(|(_, engine)| Box::pin(engine.wait_until(|state| !state.held.is_empty())));
         futures_util::future::select_all(waits).await;
     }
 
     /// Waits until no engine holds a request.
-    pub async fn engines_empty(&self) {
+    pub async fn wait_engines_empty(&self) {
         for (_, engine) in &self.standins.engines {
             engine.wait_empty().await;
         }
@@ -170,18 +170,18 @@
 }
 
 /// A daemon in front of `SMALL_PLAN`, and a caller.
-pub struct Served {
-    pub world: World,
+pub struct SingleDaemon {
+    pub cluster: TestCluster,
     pub daemon: Daemon,
     pub caller: Caller,
 }
 
-impl Served {
+impl SingleDaemon {
     pub async fn start() -> Self {
-        let world = World::start(SMALL_PLAN).await;
-        let daemon = world.daemon("entry-1").await;
+        let cluster = TestCluster::start(SMALL_PLAN).await;
+        let daemon = cluster.daemon("entry-1").await;
         let caller = Caller::new(daemon.callers_address());
-        Self { world, daemon, caller }
+        Self { cluster, daemon, caller }
     }
 }
 
@@ -216,7 +216,7 @@
         self.client.request(request).await.expect("answer")
     }
 
-    pub async fn ask(&self, request: Request<Full<Bytes>>) -> Answer {
+    pub async fn fetch(&self, request: Request<Full<Bytes>>) -> Answer {
         let (parts, mut body) = self.send(request).await.into_parts();
         let mut text = Vec::new();
         let mut whole = true;
@@ -234,12 +234,12 @@
     /// Books a flat with the header `named`: an idempotency key or a ticket.
     pub async fn book(&self, flat: &str, named: (&str, &str)) -> Answer {
         let request = self.request("POST", &format!("/booking/new?flat={flat}")).header(named.0, named.1);
-        self.ask(request.body(Full::new(Bytes::from_static(b"{}"))).expect("request")).await
+        self.fetch(request.body(Full::new(Bytes::from_static(b"{}"))).expect("request")).await
     }
 
     pub async fn complete(&self, prompt: &str, max_tokens: u64, stream: bool) -> Answer {
         let body = serde_json::json!({"model": "small", "prompt": prompt, "max_tokens": max_tokens, "stream": stream});
-        self.ask(self.completion(&body)).await
+        self.fetch(self.completion(&body)).await
     }
 
     pub fn completion(&self, body: &serde_json::Value) -> Request<Full<Bytes>> {
--- a/crates/standins/tests/e2e/config.rs
+++ b/crates/standins/tests/e2e/config.rs
@@ -10,7 +10,7 @@
 use hibiscusvale_core::units::Millis;
 use hibiscusvale_standins::control::FaultUpdate;
 
-use crate::world::{Caller, SMALL_PLAN, World, stop, streamed_text};
+use crate::cluster::{Caller, SMALL_PLAN, TestCluster, stop, streamed_text};
 
 const PROMPT: &str = "The glider came back with a loose canopy latch.";
 
@@ -59,33 +59,33 @@
 /// from the log alone.
 #[tokio::test(flavor = "multi_thread")]
 async fn classes_survive_replacement_of_all_hosts_during_log_outage() {
-    let world = World::start(SMALL_PLAN).await;
-    let mut oldest = world.daemon("entry-1").await;
-    world.standins.log.update_faults(&outage(true));
+    let cluster = TestCluster::start(SMALL_PLAN).await;
+    let mut oldest = cluster.daemon("entry-1").await;
+    cluster.standins.log.update_faults(&outage(true));
     for host in ["entry-2", "entry-3"] {
-        let replacement = world.daemon_beside(host, &[&oldest]).await;
+        let replacement = cluster.daemon_with_peers(host, &[&oldest]).await;
         stop(oldest).await;
         assert_serves(&replacement).await;
         oldest = replacement;
     }
-    let records = world.standins.log.records("config").len();
-    world.standins.log.expire("config", records);
-    world.standins.log.update_faults(&outage(false));
+    let records = cluster.standins.log.records("config").len();
+    cluster.standins.log.expire("config", records);
+    cluster.standins.log.update_faults(&outage(false));
     let written = async {
-        while !has_checkpoint(&world) {
+        while !has_checkpoint(&cluster) {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
     assert_eq!(tokio::time::timeout(WAIT_TIMEOUT, written).await, Ok(()), "no checkpoint in time");
     stop(oldest).await;
 
-    let alone = world.daemon("entry-4").await;
+    let alone = cluster.daemon("entry-4").await;
     assert_serves(&alone).await;
     stop(alone).await;
 }
 
-fn has_checkpoint(world: &World) -> bool {
-    let records = world.standins.log.records("config");
+fn has_checkpoint(cluster: &TestCluster) -> bool {
+    let records = cluster.standins.log.records("config");
     let is_checkpoint = |bytes: &[u8]| matches!(Record::decode(bytes), Ok(Record::Checkpoint(_)));
     records.iter().any(|(_, bytes)| is_checkpoint(bytes))
 }
@@ -94,17 +94,18 @@
 /// otherwise the outcome of a request would depend on the host that the balancer picks.
 #[tokio::test(flavor = "multi_thread")]
 async fn change_reaches_daemon_partitioned_from_log() {
-    let world = World::start(SMALL_PLAN).await;
-    let first = world.daemon("entry-1").await;
-    let cut = world.standins.log.serve_at("127.0.0.1:0".parse().expect("an address")).await.expect("a log");
-    cut.update_faults(&FaultUpdate { mute: Some(true), ..FaultUpdate::default() });
-    let mut settings = world.settings("entry-2", &[first.peer_address()]);
-    settings.platform.log = cut.address;
+    let cluster = TestCluster::start(SMALL_PLAN).await;
+    let first = cluster.daemon("entry-1").await;
+    let partitioned_log =
+        cluster.standins.log.serve_at("127.0.0.1:0".parse().expect("an address")).await.expect("a log");
+    partitioned_log.update_faults(&FaultUpdate { mute: Some(true), ..FaultUpdate::default() });
+    let mut settings = cluster.settings("entry-2", &[first.peer_address()]);
+    settings.platform.log = partitioned_log.address;
     let incarnation = new_incarnation();
     let second =
         Daemon::start(&settings, ExternalSystems::new(&settings, incarnation), incarnation).expect("daemon");
     second.ready().await;
-    world.publish("booking", ClassTarget::plain(Millis(777))).await;
+    cluster.publish("booking", ClassTarget::plain(Millis(777))).await;
     wait_in_force(&first, 777).await;
     wait_in_force(&second, 777).await;
     let (first_status, second_status) =
--- a/crates/standins/tests/e2e/crash.rs
+++ b/crates/standins/tests/e2e/crash.rs
@@ -15,7 +15,7 @@
 use rstest::rstest;
 use tokio::sync::Barrier;
 
-use crate::world::{Caller, TOKEN, World, stop};
+use crate::cluster::{Caller, TOKEN, TestCluster, stop};
 
 /// The service time is long enough that requests are in flight when the daemon is killed.
 const PLAN: &str = r#"
@@ -90,9 +90,9 @@
     (key, observed)
 }
 
-fn executions(world: &World) -> BTreeMap<String, usize> {
+fn executions(cluster: &TestCluster) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
-    for (_, plain) in &world.standins.plain {
+    for (_, plain) in &cluster.standins.plain {
         for execution in plain.ledger() {
             *counts.entry(execution.idempotency_key.expect("a key")).or_default() += 1;
         }
@@ -114,10 +114,10 @@
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn daemon_crash_during_log_outage_causes_no_double_booking(#[values(false, true)] muted: bool) {
-    let world = World::start(PLAN).await;
-    let first = world.daemon("entry-1").await;
-    let second = world.daemon_beside("entry-2", &[&first]).await;
-    let third = world.daemon_beside("entry-3", &[&first, &second]).await;
+    let cluster = TestCluster::start(PLAN).await;
+    let first = cluster.daemon("entry-1").await;
+    let second = cluster.daemon_with_peers("entry-2", &[&first]).await;
+    let third = cluster.daemon_with_peers("entry-3", &[&first, &second]).await;
     let hosts = [&first, &second, &third].map(Daemon::callers_address);
 
     // A booking completed before the outage must still be known to all hosts afterwards.
@@ -127,12 +127,12 @@
     let phase = Arc::new(Barrier::new(CALLERS + 1));
     let calls: Vec<_> =
         (0..CALLERS).map(|number| tokio::spawn(call(number, hosts, Arc::clone(&phase)))).collect();
-    let (_, plain) = &world.standins.plain[0];
+    let (_, plain) = &cluster.standins.plain[0];
     plain.wait_executed(4).await;
-    world.standins.log.update_faults(&log_fault(muted, true));
+    cluster.standins.log.update_faults(&log_fault(muted, true));
     tokio::task::spawn_blocking(move || first.kill()).await.expect("killed");
     phase.wait().await;
-    world.standins.log.update_faults(&log_fault(muted, false));
+    cluster.standins.log.update_faults(&log_fault(muted, false));
 
     let mut observed = BTreeMap::new();
     for call in calls {
@@ -142,7 +142,7 @@
     let again = Caller::new(hosts[2]).book("early", ("idempotency-key", "early")).await;
     assert_eq!((again.outcome(), &again.body), ("answered", &early.body));
 
-    let ran = executions(&world);
+    let ran = executions(&cluster);
     assert!(ran.values().all(|&times| times == 1), "booked twice: {ran:?}");
     let mut kinds: BTreeMap<&str, usize> = BTreeMap::new();
     for (key, outcomes) in &observed {
--- a/crates/standins/tests/e2e/hosts.rs
+++ b/crates/standins/tests/e2e/hosts.rs
@@ -4,7 +4,7 @@
 
 use hibiscusvale_standins::{FaultUpdate, text};
 
-use crate::world::{Caller, SMALL_PLAN, World, stop, streamed_text};
+use crate::cluster::{Caller, SMALL_PLAN, TestCluster, stop, streamed_text};
 
 const PROMPT: &str = "The client keeps a large dog and is allergic to bleach.";
 
@@ -12,22 +12,22 @@
 /// daemon cancels its requests, the engines keep slots for disconnected callers and lose capacity with each crash.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_of_crashed_daemon_are_released_when_host_is_replaced() {
-    let world = World::start(SMALL_PLAN).await;
-    let first = world.daemon("entry-1").await;
-    let second = world.daemon_beside("entry-2", &[&first]).await;
+    let cluster = TestCluster::start(SMALL_PLAN).await;
+    let first = cluster.daemon("entry-1").await;
+    let second = cluster.daemon_with_peers("entry-2", &[&first]).await;
     let caller = Caller::new(second.callers_address());
     let body = serde_json::json!({"model": "small", "prompt": PROMPT, "max_tokens": 30_000, "stream": true});
-    let asked = tokio::spawn({
+    let pending = tokio::spawn({
         let caller = caller.clone();
         let request = caller.completion(&body);
         async move { caller.send(request).await }
     });
-    world.decoding().await;
+    cluster.wait_decoding().await;
     tokio::task::spawn_blocking(move || second.kill()).await.expect("killed");
-    asked.abort();
+    pending.abort();
 
-    let replaced = world.daemon_beside("entry-2", &[&first]).await;
-    world.engines_empty().await;
+    let replaced = cluster.daemon_with_peers("entry-2", &[&first]).await;
+    cluster.wait_engines_empty().await;
     let answer = Caller::new(replaced.callers_address()).complete(PROMPT, 12, true).await;
     assert!(streamed_text(&answer.body).is_some(), "{}", answer.body);
     stop(first).await;
@@ -38,13 +38,13 @@
 /// and servers from its peers, each replaced host is lost for callers.
 #[tokio::test(flavor = "multi_thread")]
 async fn host_replaced_during_platform_outage_copies_state_from_peers() {
-    let world = World::start(SMALL_PLAN).await;
-    let first = world.daemon("entry-1").await;
+    let cluster = TestCluster::start(SMALL_PLAN).await;
+    let first = cluster.daemon("entry-1").await;
     let unavailable = FaultUpdate { outage: Some(true), ..FaultUpdate::default() };
-    world.standins.log.update_faults(&unavailable);
-    world.standins.hosts.update_faults(&unavailable);
+    cluster.standins.log.update_faults(&unavailable);
+    cluster.standins.hosts.update_faults(&unavailable);
 
-    let replaced = world.daemon_beside("entry-2", &[&first]).await;
+    let replaced = cluster.daemon_with_peers("entry-2", &[&first]).await;
     let answer = Caller::new(replaced.callers_address()).complete(PROMPT, 12, true).await;
     assert_eq!(streamed_text(&answer.body).as_deref(), Some(text::expected_answer(PROMPT, 12).as_str()));
     stop(first).await;
@@ -55,10 +55,10 @@
 /// may use them and callers are rejected with `retry-after`; the reassignment must complete.
 #[tokio::test(flavor = "multi_thread")]
 async fn engines_of_crashed_watchers_are_reassigned() {
-    let world = World::start(SMALL_PLAN).await;
-    let first = world.daemon("entry-1").await;
-    let second = world.daemon_beside("entry-2", &[&first]).await;
-    let third = world.daemon_beside("entry-3", &[&first, &second]).await;
+    let cluster = TestCluster::start(SMALL_PLAN).await;
+    let first = cluster.daemon("entry-1").await;
+    let second = cluster.daemon_with_peers("entry-2", &[&first]).await;
+    let third = cluster.daemon_with_peers("entry-3", &[&first, &second]).await;
     let killed = Instant::now();
     for daemon in [second, third] {
         tokio::task::spawn_blocking(move || daemon.kill()).await.expect("killed");
--- a/crates/standins/tests/e2e/leaving.rs
+++ b/crates/standins/tests/e2e/leaving.rs
@@ -9,13 +9,13 @@
 use http::Method;
 use http_body_util::Full;
 
-use crate::world::{Answer, Caller, SMALL_PLAN, World, stop};
+use crate::cluster::{Answer, Caller, SMALL_PLAN, TestCluster, stop};
 
 const CALLS: usize = 40;
 
 async fn page(caller: &Caller) -> Answer {
     let request = caller.request("GET", "/booking/week").body(Full::new(Bytes::new())).expect("request");
-    caller.ask(request).await
+    caller.fetch(request).await
 }
 
 /// Number of retries that the daemon made because a server was draining.
@@ -40,16 +40,16 @@
 /// otherwise each daemon would call the instance until the list catches up.
 #[tokio::test(flavor = "multi_thread")]
 async fn draining_server_found_by_one_daemon_gets_no_work_from_another() {
-    let world = World::start(SMALL_PLAN).await;
-    let first = world.daemon("entry-1").await;
-    let second = world.daemon_beside("entry-2", &[&first]).await;
-    world.standins.plain[0].1.update_faults(&FaultUpdate { leaving: Some(true), ..FaultUpdate::default() });
+    let cluster = TestCluster::start(SMALL_PLAN).await;
+    let first = cluster.daemon("entry-1").await;
+    let second = cluster.daemon_with_peers("entry-2", &[&first]).await;
+    cluster.standins.plain[0].1.update_faults(&FaultUpdate { leaving: Some(true), ..FaultUpdate::default() });
 
     let caller = Caller::new(first.callers_address());
     while retries_for_leaving(&first).await == 0 {
         assert_eq!(page(&caller).await.outcome(), "answered");
     }
-    let all = world.standins.addresses.backend_servers.iter().filter(|entry| entry.peer_address.is_none());
+    let all = cluster.standins.addresses.backend_servers.iter().filter(|entry| entry.peer_address.is_none());
     let left = all.count() as u64 - 1;
     while servers_live(&second).await != left {
         tokio::task::yield_now().await;
--- a/crates/standins/tests/e2e/main.rs
+++ b/crates/standins/tests/e2e/main.rs
@@ -1,6 +1,7 @@
 //! End-to-end tests over sockets: daemons in front of mock servers, in one process on free ports.
 
 mod bad_input;
+mod cluster;
 mod config;
 mod crash;
 mod hosts;
@@ -10,4 +11,3 @@
 mod path;
 mod stalled;
 mod streams;
-mod world;
--- a/crates/standins/tests/e2e/once.rs
+++ b/crates/standins/tests/e2e/once.rs
@@ -6,28 +6,28 @@
 use http::Method;
 use http_body_util::Full;
 
-use crate::world::{Caller, SMALL_PLAN, Served, World, stop};
+use crate::cluster::{Caller, SMALL_PLAN, SingleDaemon, TestCluster, stop};
 
-fn executions(world: &World) -> usize {
-    world.standins.plain.iter().map(|(_, plain)| plain.ledger().len()).sum()
+fn executions(cluster: &TestCluster) -> usize {
+    cluster.standins.plain.iter().map(|(_, plain)| plain.ledger().len()).sum()
 }
 
 /// A caller loses its connection before the answer arrives and retries on another host. It must get the first answer,
 /// and the flat must be booked once.
 #[tokio::test(flavor = "multi_thread")]
 async fn retry_with_same_key_on_another_host_gets_first_answer() {
-    let world = World::start(SMALL_PLAN).await;
-    let first = world.daemon("entry-1").await;
-    let second = world.daemon_beside("entry-2", &[&first]).await;
+    let cluster = TestCluster::start(SMALL_PLAN).await;
+    let first = cluster.daemon("entry-1").await;
+    let second = cluster.daemon_with_peers("entry-2", &[&first]).await;
 
     let booked = Caller::new(first.callers_address()).book("7", ("idempotency-key", "flat-7")).await;
     assert_eq!((booked.status.as_u16(), booked.outcome()), (200, "answered"), "{}", booked.body);
     let again = Caller::new(second.callers_address()).book("7", ("idempotency-key", "flat-7")).await;
     assert_eq!((again.status.as_u16(), again.outcome()), (200, "answered"), "{}", again.body);
     assert_eq!(again.body, booked.body);
-    assert_eq!(executions(&world), 1);
+    assert_eq!(executions(&cluster), 1);
     let counted = claim_append_count(&first).await + claim_append_count(&second).await;
-    let log = &world.standins.log;
+    let log = &cluster.standins.log;
     let taken: u64 =
         log.appends().iter().filter(|(name, _)| name.starts_with("claims")).map(|(_, n)| n).sum();
     assert_eq!((counted, taken), (1, 1), "the second call found the key without a further append");
@@ -47,12 +47,12 @@
 /// A faulty client uses one key for two different bookings. The second must be rejected with outcome `not-run`.
 #[tokio::test(flavor = "multi_thread")]
 async fn key_reused_for_another_request_is_rejected() {
-    let Served { world, daemon, caller } = Served::start().await;
+    let SingleDaemon { cluster, daemon, caller } = SingleDaemon::start().await;
 
     caller.book("7", ("idempotency-key", "one")).await;
     let other = caller.book("8", ("idempotency-key", "one")).await;
     assert_eq!((other.status.as_u16(), other.outcome()), (422, "not-run"), "{}", other.body);
-    assert_eq!(executions(&world), 1);
+    assert_eq!(executions(&cluster), 1);
     stop(daemon).await;
 }
 
@@ -60,29 +60,29 @@
 /// caller with only a key must be rejected with `retry-after`, and nothing may run.
 #[tokio::test(flavor = "multi_thread")]
 async fn ticket_is_accepted_during_log_outage() {
-    let world = World::start(SMALL_PLAN).await;
-    let first = world.daemon("entry-1").await;
-    let second = world.daemon_beside("entry-2", &[&first]).await;
+    let cluster = TestCluster::start(SMALL_PLAN).await;
+    let first = cluster.daemon("entry-1").await;
+    let second = cluster.daemon_with_peers("entry-2", &[&first]).await;
     let caller = Caller::new(first.callers_address());
-    world
+    cluster
         .standins
         .log
         .update_faults(&hibiscusvale_standins::FaultUpdate { outage: Some(true), ..Default::default() });
 
     let request = caller.request("POST", "/v1/tickets").body(Full::new(Bytes::new())).expect("request");
-    let given: serde_json::Value = serde_json::from_str(&caller.ask(request).await.body).expect("ticket");
+    let given: serde_json::Value = serde_json::from_str(&caller.fetch(request).await.body).expect("ticket");
     let ticket = given["ticket"].as_str().expect("ticket").to_owned();
-    let elsewhere = Caller::new(second.callers_address());
-    let booked = elsewhere.book("7", ("x-ticket", &ticket)).await;
+    let other_caller = Caller::new(second.callers_address());
+    let booked = other_caller.book("7", ("x-ticket", &ticket)).await;
     assert_eq!((booked.status.as_u16(), booked.outcome()), (200, "answered"), "{}", booked.body);
     let again = caller.book("7", ("x-ticket", &ticket)).await;
     assert_eq!(again.body, booked.body);
-    assert_eq!(executions(&world), 1);
+    assert_eq!(executions(&cluster), 1);
 
     let keyed = caller.book("8", ("idempotency-key", "flat-8")).await;
     assert_eq!((keyed.status.as_u16(), keyed.outcome()), (503, "not-run"), "{}", keyed.body);
     assert!(keyed.headers.contains_key("retry-after"));
-    assert_eq!(executions(&world), 1);
+    assert_eq!(executions(&cluster), 1);
     stop(first).await;
     stop(second).await;
 }
--- a/crates/standins/tests/e2e/path.rs
+++ b/crates/standins/tests/e2e/path.rs
@@ -7,13 +7,13 @@
 use hibiscusvale_standins::text;
 use http_body_util::Full;
 
-use crate::world::{Caller, SMALL_PLAN, Served, World, stop, streamed_text};
+use crate::cluster::{Caller, SMALL_PLAN, SingleDaemon, TestCluster, stop, streamed_text};
 
 const PROMPT: &str = "The client keeps a large dog and is allergic to bleach.";
 
 #[tokio::test(flavor = "multi_thread")]
 async fn completion_is_answered_with_and_without_streaming() {
-    let Served { world, daemon, caller } = Served::start().await;
+    let SingleDaemon { cluster, daemon, caller } = SingleDaemon::start().await;
 
     let whole = caller.complete(PROMPT, 12, false).await;
     assert_eq!((whole.status.as_u16(), whole.outcome()), (200, "answered"), "{}", whole.body);
@@ -23,23 +23,23 @@
     let streamed = caller.complete(PROMPT, 12, true).await;
     assert_eq!(streamed_text(&streamed.body).as_deref(), Some(text::expected_answer(PROMPT, 12).as_str()));
 
-    world.engines_empty().await;
+    cluster.wait_engines_empty().await;
     stop(daemon).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn booking_reaches_service_unchanged() {
-    let Served { world, daemon, caller } = Served::start().await;
+    let SingleDaemon { cluster, daemon, caller } = SingleDaemon::start().await;
 
     let request = caller
         .request("POST", "/booking/new?flat=7")
         .header("idempotency-key", "flat-7")
         .body(Full::new(Bytes::from_static(b"{\"cleaner\":\"Amal\"}")))
         .expect("request");
-    let answer = caller.ask(request).await;
+    let answer = caller.fetch(request).await;
     assert_eq!((answer.status.as_u16(), answer.outcome()), (200, "answered"), "{}", answer.body);
 
-    let ledger: Vec<_> = world.standins.plain.iter().flat_map(|(_, plain)| plain.ledger()).collect();
+    let ledger: Vec<_> = cluster.standins.plain.iter().flat_map(|(_, plain)| plain.ledger()).collect();
     assert_eq!(ledger.len(), 1);
     assert_eq!(ledger[0].path, "/booking/new?flat=7");
     assert_eq!(ledger[0].idempotency_key.as_deref(), Some("flat-7"));
@@ -50,13 +50,13 @@
 /// pause, but must receive the same bytes as without the failure.
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_with_stalled_connection_is_resumed_by_index() {
-    let Served { world, daemon, caller } = Served::start().await;
+    let SingleDaemon { cluster, daemon, caller } = SingleDaemon::start().await;
 
-    let asked = tokio::spawn({
+    let pending = tokio::spawn({
         let caller = caller.clone();
         async move { caller.complete(PROMPT, 40, true).await }
     });
-    for (name, engine) in &world.standins.engines {
+    for (name, engine) in &cluster.standins.engines {
         if name.starts_with("decode") {
             let engine = engine.clone();
             tokio::spawn(async move {
@@ -65,9 +65,9 @@
             });
         }
     }
-    let answer = asked.await.expect("answer");
+    let answer = pending.await.expect("answer");
     assert_eq!(streamed_text(&answer.body).as_deref(), Some(text::expected_answer(PROMPT, 40).as_str()));
-    world.engines_empty().await;
+    cluster.wait_engines_empty().await;
     stop(daemon).await;
 }
 
@@ -75,46 +75,46 @@
 /// unused slot.
 #[tokio::test(flavor = "multi_thread")]
 async fn engine_memory_is_released_when_caller_disconnects() {
-    let Served { world, daemon, caller } = Served::start().await;
+    let SingleDaemon { cluster, daemon, caller } = SingleDaemon::start().await;
 
     let body = serde_json::json!({"model": "small", "prompt": PROMPT, "max_tokens": 4000, "stream": true});
     let response = caller.send(caller.completion(&body)).await;
     assert_eq!(response.status().as_u16(), 200);
     drop(response);
     drop(caller);
-    world.engines_empty().await;
+    cluster.wait_engines_empty().await;
     stop(daemon).await;
 }
 
 /// A daemon shuts down gracefully while an answer is generated. The caller must still receive the complete answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn graceful_shutdown_completes_streams() {
-    let Served { world, daemon, caller } = Served::start().await;
+    let SingleDaemon { cluster, daemon, caller } = SingleDaemon::start().await;
 
-    let asked = tokio::spawn({
+    let pending = tokio::spawn({
         let caller = caller.clone();
         async move { caller.complete(PROMPT, 40, true).await }
     });
-    world.decoding().await;
+    cluster.wait_decoding().await;
     stop(daemon).await;
-    let answer = asked.await.expect("answer");
+    let answer = pending.await.expect("answer");
     assert!(answer.whole);
     assert_eq!(streamed_text(&answer.body).as_deref(), Some(text::expected_answer(PROMPT, 40).as_str()));
-    world.engines_empty().await;
+    cluster.wait_engines_empty().await;
 }
 
 /// A caller disconnects before the booking page has loaded. The request must be counted; otherwise the metrics would
 /// show fewer requests than callers sent.
 #[tokio::test(flavor = "multi_thread")]
 async fn page_whose_caller_disconnects_is_counted() {
-    let world = World::start(SMALL_PLAN).await;
-    let daemon = world.daemon("entry-1").await;
-    for (_, service) in &world.standins.plain {
+    let cluster = TestCluster::start(SMALL_PLAN).await;
+    let daemon = cluster.daemon("entry-1").await;
+    for (_, service) in &cluster.standins.plain {
         service.update_faults(&FaultUpdate { mute: Some(true), ..FaultUpdate::default() });
     }
     let caller = Caller::new(daemon.callers_address());
     let request = caller.request("GET", "/booking/week").body(Full::new(Bytes::new())).expect("request");
-    let asked = tokio::spawn(async move { caller.ask(request).await.status });
+    let pending = tokio::spawn(async move { caller.fetch(request).await.status });
     let left = |view: &OutcomesView| {
         let outcomes = view.classes.iter().flat_map(|class| &class.outcomes);
         outcomes.filter(|count| count.label == "caller-left").map(|count| count.count).sum::<u64>()
@@ -124,7 +124,7 @@
     while view().await.expect("view").classes.is_empty() {
         tokio::task::yield_now().await;
     }
-    asked.abort();
+    pending.abort();
     while left(&view().await.expect("view")) == 0 {
         tokio::task::yield_now().await;
     }
@@ -136,12 +136,12 @@
 /// id, and the refusal must not be counted a second time as a disconnected caller, which would falsify the metrics.
 #[tokio::test(flavor = "multi_thread")]
 async fn refused_request_is_counted_once_and_explained() {
-    let Served { world, daemon, caller } = Served::start().await;
-    for (_, service) in &world.standins.plain {
+    let SingleDaemon { cluster, daemon, caller } = SingleDaemon::start().await;
+    for (_, service) in &cluster.standins.plain {
         service.update_faults(&FaultUpdate { leaving: Some(true), ..FaultUpdate::default() });
     }
     let request = caller.request("GET", "/booking/week").body(Full::new(Bytes::new())).expect("request");
-    let answer = caller.ask(request).await;
+    let answer = caller.fetch(request).await;
     assert_eq!(answer.outcome(), "not-run", "{}", answer.body);
 
     let id = answer.headers["x-request-id"].to_str().expect("text");
--- a/crates/standins/tests/e2e/stalled.rs
+++ b/crates/standins/tests/e2e/stalled.rs
@@ -16,7 +16,7 @@
 use tokio::net::TcpSocket;
 use tokio::sync::watch;
 
-use crate::world::{SMALL_PLAN, TOKEN, World, stop};
+use crate::cluster::{SMALL_PLAN, TOKEN, TestCluster, stop};
 
 /// Engine client whose decode streams are always ready, and which reports cancellations.
 #[derive(Debug)]
@@ -80,8 +80,8 @@
 /// were treated as a slow caller, it would keep a decode slot until the host is replaced.
 #[tokio::test(flavor = "multi_thread")]
 async fn stalled_caller_is_disconnected_and_its_slot_released() {
-    let world = World::start(SMALL_PLAN).await;
-    let mut settings = world.settings("entry-1", &[]);
+    let cluster = TestCluster::start(SMALL_PLAN).await;
+    let mut settings = cluster.settings("entry-1", &[]);
     settings.limits.stall_timeout_ms = Millis(200);
     let incarnation = new_incarnation();
     let edges = ExternalSystems::new(&settings, incarnation);
@@ -102,7 +102,7 @@
     caller.write_all(head.as_bytes()).await.expect("sent");
 
     is_cancelled.wait_for(|cancelled| *cancelled).await.expect("told to stop");
-    world.engines_empty().await;
+    cluster.wait_engines_empty().await;
     drop(caller);
     stop(daemon).await;
 }
--- a/crates/standins/tests/e2e/streams.rs
+++ b/crates/standins/tests/e2e/streams.rs
@@ -5,7 +5,7 @@
 use hibiscusvale_standins::{EngineHandle, FaultUpdate, text};
 use rstest::rstest;
 
-use crate::world::{Caller, SMALL_PLAN, Served, World, stop, streamed_text};
+use crate::cluster::{Caller, SMALL_PLAN, SingleDaemon, TestCluster, stop, streamed_text};
 
 const TOKENS: u64 = 60;
 
@@ -18,8 +18,8 @@
 }
 
 /// Waits for the first engine with a request in `stage`.
-async fn wait_for_stage(world: &World, stage: ReportedStage) -> EngineHandle {
-    let engines = world.standins.engines.iter().map(|(_, engine)| engine);
+async fn wait_for_stage(cluster: &TestCluster, stage: ReportedStage) -> EngineHandle {
+    let engines = cluster.standins.engines.iter().map(|(_, engine)| engine);
     let waits = engines.map(|engine| {
         Box::pin(async move {
             engine.wait_until(holds(stage)).await;
@@ -29,8 +29,8 @@
     futures_util::future::select_all(waits).await.0
 }
 
-fn update_all_faults(world: &World, update: &FaultUpdate) {
-    for (_, engine) in &world.standins.engines {
+fn update_all_faults(cluster: &TestCluster, update: &FaultUpdate) {
+    for (_, engine) in &cluster.standins.engines {
         engine.update_faults(update);
     }
 }
@@ -43,15 +43,15 @@
 #[case::decode(ReportedStage::Decode)]
 #[tokio::test(flavor = "multi_thread")]
 async fn caller_disconnect_releases_engines_at_each_stage(#[case] stage: ReportedStage) {
-    let world = World::start(SMALL_PLAN).await;
-    let daemon = world.daemon("entry-1").await;
-    update_all_faults(&world, &FaultUpdate { slow_factor: Some(20.0), ..FaultUpdate::default() });
+    let cluster = TestCluster::start(SMALL_PLAN).await;
+    let daemon = cluster.daemon("entry-1").await;
+    update_all_faults(&cluster, &FaultUpdate { slow_factor: Some(20.0), ..FaultUpdate::default() });
     let caller = Caller::new(daemon.callers_address());
-    let asked = tokio::spawn(async move { caller.complete(&long_prompt(), 20_000, false).await.status });
-    wait_for_stage(&world, stage).await;
-    asked.abort();
-    assert!(asked.await.is_err(), "the answer completed before the caller disconnected");
-    world.engines_empty().await;
+    let pending = tokio::spawn(async move { caller.complete(&long_prompt(), 20_000, false).await.status });
+    wait_for_stage(&cluster, stage).await;
+    pending.abort();
+    assert!(pending.await.is_err(), "the answer completed before the caller disconnected");
+    cluster.wait_engines_empty().await;
     stop(daemon).await;
 }
 
@@ -62,10 +62,10 @@
 #[case::mute(FaultUpdate { mute: Some(true), silence: true, ..FaultUpdate::default() })]
 #[tokio::test(flavor = "multi_thread")]
 async fn answer_continues_on_another_engine_after_failure(#[case] failure: FaultUpdate) {
-    let Served { world, daemon, caller } = Served::start().await;
-    let asked = tokio::spawn(async move { caller.complete(&long_prompt(), TOKENS, true).await });
-    wait_for_stage(&world, ReportedStage::Decode).await.update_faults(&failure);
-    let answer = asked.await.expect("answer");
+    let SingleDaemon { cluster, daemon, caller } = SingleDaemon::start().await;
+    let pending = tokio::spawn(async move { caller.complete(&long_prompt(), TOKENS, true).await });
+    wait_for_stage(&cluster, ReportedStage::Decode).await.update_faults(&failure);
+    let answer = pending.await.expect("answer");
     let expected = text::expected_answer(&long_prompt(), usize::try_from(TOKENS).expect("small"));
     assert_eq!(streamed_text(&answer.body), Some(expected));
     daemon.kill();
@@ -78,22 +78,22 @@
 #[case::during_transfer(ReportedStage::Transfer)]
 #[tokio::test(flavor = "multi_thread")]
 async fn stalled_connection_causes_no_second_prefill(#[case] stage: ReportedStage) {
-    let world = World::start(SMALL_PLAN).await;
-    let daemon = world.daemon("entry-1").await;
-    update_all_faults(&world, &FaultUpdate { slow_factor: Some(5.0), ..FaultUpdate::default() });
+    let cluster = TestCluster::start(SMALL_PLAN).await;
+    let daemon = cluster.daemon("entry-1").await;
+    update_all_faults(&cluster, &FaultUpdate { slow_factor: Some(5.0), ..FaultUpdate::default() });
     let caller = Caller::new(daemon.callers_address());
-    let asked = tokio::spawn(async move { caller.complete(&long_prompt(), 5, true).await });
-    wait_for_stage(&world, stage).await;
-    update_all_faults(&world, &FaultUpdate { silence: true, ..FaultUpdate::default() });
-    let answer = asked.await.expect("answer");
+    let pending = tokio::spawn(async move { caller.complete(&long_prompt(), 5, true).await });
+    wait_for_stage(&cluster, stage).await;
+    update_all_faults(&cluster, &FaultUpdate { silence: true, ..FaultUpdate::default() });
+    let answer = pending.await.expect("answer");
     assert_eq!(streamed_text(&answer.body), Some(text::expected_answer(&long_prompt(), 5)));
-    let prefills: usize = world
+    let prefills: usize = cluster
         .standins
         .engines
         .iter()
         .map(|(_, engine)| engine.state().work.values().filter(|work| work.prefills > 0).count())
         .sum();
     assert_eq!(prefills, 1, "the prompt was prefilled again");
-    world.engines_empty().await;
+    cluster.wait_engines_empty().await;
     stop(daemon).await;
 }
