--- a/crates/standins/src/control.rs
+++ b/crates/standins/src/control.rs
@@ -65,26 +65,26 @@
 
 impl Faults {
     /// Applies an update.
-    pub fn update_faults(&self, order: &FaultUpdate) {
-        if let Some(on) = order.mute {
+    pub fn update_faults(&self, update: &FaultUpdate) {
+        if let Some(on) = update.mute {
             self.mute.store(on, Ordering::SeqCst);
         }
-        if let Some(on) = order.leaving {
+        if let Some(on) = update.leaving {
             self.leaving.store(on, Ordering::SeqCst);
         }
-        if let Some(on) = order.outage {
+        if let Some(on) = update.outage {
             self.outage.store(on, Ordering::SeqCst);
         }
-        if let Some(factor) = order.slow_factor {
+        if let Some(factor) = update.slow_factor {
             self.slow_per_mille.store(per_mille(factor), Ordering::SeqCst);
         }
-        if order.silence {
+        if update.silence {
             self.stall_generation.fetch_add(1, Ordering::SeqCst);
         }
-        if let Some(count) = order.lose_replies {
-            *self.dropped_responses.lock() = DroppedResponses { left: count, path: order.lose_path.clone() };
+        if let Some(count) = update.lose_replies {
+            *self.dropped_responses.lock() = DroppedResponses { left: count, path: update.lose_path.clone() };
         }
-        if order.die {
+        if update.die {
             self.killed.cancel();
         }
     }
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -176,8 +176,8 @@
     }
 
     /// Applies an update of the injected faults.
-    pub fn update_faults(&self, order: &FaultUpdate) {
-        self.engine.faults.update_faults(order);
+    pub fn update_faults(&self, update: &FaultUpdate) {
+        self.engine.faults.update_faults(update);
     }
 
     /// Waits until the engine holds no request.
--- a/crates/standins/src/hosts.rs
+++ b/crates/standins/src/hosts.rs
@@ -169,8 +169,8 @@
     }
 
     /// Applies an update of the injected faults.
-    pub fn update_faults(&self, order: &FaultUpdate) {
-        self.list.faults.update_faults(order);
+    pub fn update_faults(&self, update: &FaultUpdate) {
+        self.list.faults.update_faults(update);
     }
 }
 
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -138,9 +138,9 @@
 
 async fn handle_fault_update(request: Request<Incoming>, faults: &Faults) -> Response<Body> {
     match read_json::<FaultUpdate>(request).await {
-        Ok(order) => {
-            faults.update_faults(&order);
-            json(StatusCode::OK, &order)
+        Ok(update) => {
+            faults.update_faults(&update);
+            json(StatusCode::OK, &update)
         }
         Err(error) => bad_request(&error),
     }
--- a/crates/standins/src/load/caller.rs
+++ b/crates/standins/src/load/caller.rs
@@ -153,9 +153,9 @@
             let NextStep::Retry { requested_delay } = next else {
                 return;
             };
-            let (least, greatest) = BACKOFF_RANGE_MS;
-            let own_wait = Duration::from_millis(rng.random_range(least..greatest));
-            sleep(requested_delay.map_or(own_wait, |asked| asked.min(MAX_RETRY_AFTER))).await;
+            let (min_ms, max_ms) = BACKOFF_RANGE_MS;
+            let backoff = Duration::from_millis(rng.random_range(min_ms..max_ms));
+            sleep(requested_delay.map_or(backoff, |requested| requested.min(MAX_RETRY_AFTER))).await;
             daemon = self.balancer.pick(&mut rng, Some(daemon));
         }
         if record.calls.is_empty() {
--- a/crates/standins/src/load/schedule.rs
+++ b/crates/standins/src/load/schedule.rs
@@ -47,7 +47,7 @@
 }
 
 fn plan_one(rng: &mut StdRng, flow: usize, settings: &Flow, name: String, at: Duration) -> PlannedRequest {
-    let (least, greatest) = settings.answer_tokens;
+    let (min, max) = settings.answer_tokens;
     let disconnects = rng.random_bool(settings.leaving_share);
     let disconnect_ms = rng.random_range(0..MAX_DISCONNECT_DELAY_MS);
     PlannedRequest {
@@ -55,7 +55,7 @@
         text: text(rng, settings, &name),
         name,
         at,
-        answer_tokens: rng.random_range(least..=greatest),
+        answer_tokens: rng.random_range(min..=max),
         disconnect_after: disconnects.then(|| Duration::from_millis(disconnect_ms)),
         seed: rng.random(),
     }
@@ -75,8 +75,8 @@
         let _ = write!(text, "notes of household {prefix} at {} {}; ", settings.partner, text.len());
     }
     text.truncate(settings.prefix_bytes);
-    let (least, greatest) = settings.prompt_bytes;
-    let own = text.len() + rng.random_range(least..=greatest);
+    let (min, max) = settings.prompt_bytes;
+    let own = text.len() + rng.random_range(min..=max);
     while text.len() < own {
         text.push(char::from(rng.random_range(b'a'..=b'z')));
     }
--- a/crates/standins/src/log.rs
+++ b/crates/standins/src/log.rs
@@ -121,8 +121,8 @@
 
 impl LogHandle {
     /// Applies an update of the injected faults at this address.
-    pub fn update_faults(&self, order: &FaultUpdate) {
-        self.service.faults.update_faults(order);
+    pub fn update_faults(&self, update: &FaultUpdate) {
+        self.service.faults.update_faults(update);
     }
 
     /// Number of accepted append calls by stream.
--- a/crates/standins/src/plain.rs
+++ b/crates/standins/src/plain.rs
@@ -101,8 +101,8 @@
     }
 
     /// Applies an update of the injected faults.
-    pub fn update_faults(&self, order: &FaultUpdate) {
-        self.service.faults.update_faults(order);
+    pub fn update_faults(&self, update: &FaultUpdate) {
+        self.service.faults.update_faults(update);
     }
 
     /// Waits until `count` calls have been executed.
--- a/crates/standins/src/weights.rs
+++ b/crates/standins/src/weights.rs
@@ -79,8 +79,8 @@
 
 impl WeightHandle {
     /// Applies an update of the injected faults.
-    pub fn update_faults(&self, order: &FaultUpdate) {
-        self.store.faults.update_faults(order);
+    pub fn update_faults(&self, update: &FaultUpdate) {
+        self.store.faults.update_faults(update);
     }
 }
 
