--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -43,7 +43,7 @@
     #[error("could not read the request body")]
     Body,
     /// The body is not JSON of the expected type.
-    #[error("could not parse the request body: {0}")]
+    #[error("could not understand the request body: {0}")]
     Json(#[from] serde_json::Error),
 }
 
