--- a/crates/core/src/claim/start_search.rs
+++ b/crates/core/src/claim/start_search.rs
@@ -8,15 +8,15 @@
 /// the record writer's, and those of two earlier writers. Each may be off by the maximum clock skew.
 const CLOCKS_COMPARED: u64 = 4;
 
-/// Binary search for the first record that may still hold a key. The log may keep days of records while keys
-/// are held for minutes: a daemon that becomes the owner finds that record with about twenty reads of one
-/// record, instead of reading days of records at 4 KB/s.
+/// Binary search for the first record whose claims may still be in force. The log may keep days of records
+/// while claims are held for minutes: a daemon that becomes the owner finds that record with about twenty
+/// reads of one record, instead of reading days of records at 4 KB/s.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) enum StartSearch {
     /// The bounds of the stream are not known yet.
     #[default]
     Unread,
-    /// Records before `low` are too old to hold a key; those from `high` on may hold one.
+    /// The claims in records before `low` have expired; those in records from `high` on may be in force.
     Search { low: Offset, high: Offset },
     /// The start offset is known.
     Done,
@@ -50,14 +50,14 @@
                 match page.records.first().filter(|record| record.offset == probe) {
                     Some(record) if is_stale(settings, unix_ms, record) => (probe, high),
                     Some(_) => (low, probe),
-                    // The probed record and those before it have left the log since.
+                    // The log has since removed the probed record and those before it.
                     None => (page.start.max(low), page.start.max(high)),
                 }
             }
         };
-        let is_narrow = high.0.saturating_sub(low.0) <= u64::from(settings.read_limit);
-        *self = if is_narrow { Self::Done } else { Self::Search { low, high } };
-        is_narrow.then_some(low)
+        let fits_one_read = high.0.saturating_sub(low.0) <= u64::from(settings.read_limit);
+        *self = if fits_one_read { Self::Done } else { Self::Search { low, high } };
+        fits_one_read.then_some(low)
     }
 }
 
@@ -65,8 +65,8 @@
     Offset(low.0 + (high.0 - low.0) / 2)
 }
 
-/// Whether a record is so old that neither it nor an earlier one holds a key, whichever host's clock wrote
-/// it. A record that could not be decoded is never stale.
+/// Whether a record is so old that its claims and those of all earlier records have expired, even with the
+/// maximum skew of all clocks involved. A record that could not be decoded is never stale.
 fn is_stale(settings: &ClaimSettings, unix_ms: UnixMillis, record: &ClaimRecord) -> bool {
     let stale_ms = settings.hold_ms().0 + CLOCKS_COMPARED * settings.clock_skew_ms.0;
     let written = record.group.as_ref().map(|group| group.appended_unix_ms.0);
--- a/crates/core/src/config/state.rs
+++ b/crates/core/src/config/state.rs
@@ -26,7 +26,8 @@
         self.next_offset > Offset(0)
     }
 
-    /// Offset of the first record that is not folded. A higher offset is newer, on any daemon.
+    /// Offset of the first record that is not folded. Of two states, also of different daemons, the one with
+    /// the higher offset is newer.
     pub fn next_offset(&self) -> Offset {
         self.next_offset
     }
@@ -36,12 +37,12 @@
         self.partners.get(partner)?.target(class)
     }
 
-    /// What a partner has published, if it has published anything or attempted to.
+    /// Configuration of a partner; `None` if the partner has never attempted to publish.
     pub fn partner(&self, partner: &PartnerId) -> Option<&PartnerConfig> {
         self.partners.get(partner).map(AsRef::as_ref)
     }
 
-    /// All partners that have published or attempted to.
+    /// Partners that have published a change or attempted to, with their configuration.
     pub fn partners(&self) -> impl Iterator<Item = (&PartnerId, &PartnerConfig)> {
         self.partners.iter().map(|(partner, config)| (partner, config.as_ref()))
     }
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -183,7 +183,8 @@
     Incarnation(u128), "incarnation", "32"
 );
 hex_id!(
-    /// Identifies one configuration change across repeated appends, so that a lost reply can be resolved.
+    /// Identifies one configuration change across repeated appends, so that a change whose reply was lost is
+    /// recognised when it is appended again.
     ChangeId(u128), "change id", "32"
 );
 
@@ -232,7 +233,7 @@
 }
 
 /// One attempt to execute a request on backend servers. Engines identify requests by it, so that a
-/// cancellation or an answer of an abandoned attempt cannot affect a later one.
+/// cancellation or an answer that belongs to an abandoned attempt cannot affect a later attempt.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct AttemptId {
     /// The request that is attempted.
--- a/crates/core/src/membership/sending.rs
+++ b/crates/core/src/membership/sending.rs
@@ -90,7 +90,8 @@
         let known = self.data_centres.find(self.own_data_centre);
         let summary_age_us = self.last_summary_us.map(|last_summary_us| now_us.since(last_summary_us));
         let is_changed = known.is_none_or(|data_centre| data_centre.hash != hash);
-        let wait_ms = if is_changed { self.settings.bridge_ms } else { self.settings.summary_interval_ms };
+        let wait_ms =
+            if is_changed { self.settings.bridge_interval_ms } else { self.settings.summary_interval_ms };
         if summary_age_us.is_some_and(|ago_us| ago_us < Micros::from(wait_ms)) {
             return;
         }
@@ -101,7 +102,9 @@
     }
 
     pub(super) fn gossip_across(&mut self, now_us: MonoTime, actions: &mut Vec<MembershipAction>) {
-        if self.rank("bridge").is_none() || !is_due(self.last_bridge_us, now_us, self.settings.bridge_ms) {
+        if self.rank("bridge").is_none()
+            || !is_due(self.last_bridge_us, now_us, self.settings.bridge_interval_ms)
+        {
             return;
         }
         self.last_bridge_us = Some(now_us);
@@ -134,7 +137,7 @@
     /// two partitions of a data centre that declared each other dead would never merge again.
     pub(super) fn contact(&mut self, now_us: MonoTime, actions: &mut Vec<MembershipAction>) {
         let is_alone = self.table.live().next().is_none();
-        if !is_alone && !is_due(self.last_contact_us, now_us, self.settings.contact_ms) {
+        if !is_alone && !is_due(self.last_contact_us, now_us, self.settings.contact_interval_ms) {
             return;
         }
         self.last_contact_us = Some(now_us);
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -44,8 +44,8 @@
 pub(crate) struct Table {
     by_host: BTreeMap<HostId, KnownMember>,
     by_tag: HashMap<MemberTag, HostId>,
-    /// Tags of replaced records. Their heartbeats still circulate for a few seconds and must not cause a
-    /// pull.
+    /// Tags of replaced records, with the time of replacement. Their heartbeats still circulate for a few
+    /// seconds and must not cause a request for the record.
     replaced_tags: HashMap<MemberTag, MonoTime>,
 }
 
@@ -104,7 +104,7 @@
         self.replaced_tags.retain(|_, since_us| now_us.since(*since_us) <= drop_replaced_after_us);
     }
 
-    /// Shifts all heartbeat times by the time in which this process was suspended.
+    /// Moves all heartbeat times forward by the time for which this process was suspended.
     pub(crate) fn shift_times(&mut self, pause_us: Micros) {
         for known in self.by_host.values_mut() {
             known.last_heartbeat_us = known.last_heartbeat_us + pause_us;
@@ -136,7 +136,7 @@
         self.by_host.get(host).is_some_and(|known| known.record.incarnation > incarnation && !known.is_dead)
     }
 
-    /// Heartbeats to gossip: the freshest ones, without those past the suspect threshold.
+    /// Heartbeats to gossip: the freshest ones, excluding daemons that this daemon suspects.
     pub(crate) fn heartbeats(&self, now_us: MonoTime, settings: &MembershipSettings) -> Vec<Heartbeat> {
         let suspect_after_us = Micros::from(settings.suspect_after_ms);
         let mut fresh: Vec<(Micros, Heartbeat)> = self
@@ -155,10 +155,10 @@
 
 /// Whether `record` replaces the known record of the same host.
 ///
-/// A host can be replaced under its own name and address while the old process still sends. The greater
-/// incarnation wins. If the clock of the host was ahead, its later incarnations would compare smaller and be
-/// rejected forever, so a smaller one is accepted once the greater has been silent for
-/// [`MembershipSettings::old_incarnation_after_ms`].
+/// A host can be replaced by another with the same name and address while the old daemon still sends
+/// messages. The greater incarnation wins. If the clock of the host was ahead and has been corrected, its
+/// later incarnations compare smaller and would be rejected forever. So a smaller incarnation is accepted
+/// once no heartbeat of the greater one has arrived for [`MembershipSettings::old_incarnation_after_ms`].
 fn replaces(
     record: &MemberRecord,
     known: &KnownMember,
--- a/crates/core/src/quota/lease.rs
+++ b/crates/core/src/quota/lease.rs
@@ -2,8 +2,9 @@
 
 use crate::units::{Credit, Millis, MonoTime};
 
-/// Lifetime of leased credit. Short compared with the quota window, since credit may be spent this much later
-/// than it was charged; long enough that a busy daemon requests credit only a few times per second.
+/// Lifetime of leased credit. It is short compared with the quota window, since a daemon may spend credit up
+/// to this long after the quota was charged for it, and long enough that a busy daemon requests credit only a
+/// few times per second.
 pub const LEASE_TTL_MS: Millis = Millis(400);
 
 #[derive(Clone, Copy, Debug)]
@@ -21,15 +22,15 @@
     spent: Credit,
     spent_in_previous: Credit,
     period_start_us: MonoTime,
-    /// Cost from which requests are denied, and the end of the denial.
+    /// Last denial: requests that cost at least this credit are denied until the expiry time.
     denied: Option<Lease>,
 }
 
 impl LeasedCredit {
-    /// Adds credit requested at `asked_us`; it expires [`LEASE_TTL_MS`] later.
-    pub fn add(&mut self, asked_us: MonoTime, credit: Credit) {
+    /// Adds credit requested at `requested_us`; it expires [`LEASE_TTL_MS`] later.
+    pub fn add(&mut self, requested_us: MonoTime, credit: Credit) {
         if credit > Credit::ZERO {
-            self.leases.push(Lease { credit, expires_us: asked_us + LEASE_TTL_MS });
+            self.leases.push(Lease { credit, expires_us: requested_us + LEASE_TTL_MS });
         }
     }
 
@@ -72,7 +73,7 @@
     }
 
     /// Remaining time for which a request of this cost is known to be denied. `None` if it may be granted.
-    /// Avoids loading the primary with a question for each request of a surge that it would deny anyway.
+    /// Under overload, this spares the primary one credit request for each request that it would deny.
     pub fn denied_ms(&self, now_us: MonoTime, credit: Credit) -> Option<Millis> {
         let denied = self.denied.filter(|denied| now_us < denied.expires_us && credit >= denied.credit)?;
         Some(denied.expires_us.since(now_us).to_millis_ceil())
--- a/crates/core/src/relay/store_refresh.rs
+++ b/crates/core/src/relay/store_refresh.rs
@@ -1,25 +1,26 @@
-//! When a daemon reads the store to refresh its copy of routes and servers.
+//! Schedule of the reads by which a daemon refreshes its copy of routes and servers from the store.
 //!
-//! Routes and servers must be known everywhere within two seconds, and each call to the store is paid for. So
-//! a few daemons read and tell the others the age and a summary of their copy; a daemon with the same copy is
-//! as up to date without a call. No daemon depends on the readers: one that receives no fresh report reads
-//! the store itself.
+//! Changes of routes and servers must reach all daemons within two seconds, and each call to the store has a
+//! cost. So a few daemons, the readers, poll the store and report the age and a summary of their copy to the
+//! other daemons; a daemon with an equal copy is as up to date without a call. No daemon depends on the
+//! readers: one that receives no recent report reads the store itself.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use crate::ids::HostId;
 use crate::units::{Micros, Millis, MonoTime};
 
-/// Timing of reads.
+/// Number of readers and intervals of their reads.
 #[derive(Clone, Copy, Debug)]
 pub struct RefreshSettings {
-    /// Number of daemons that read for all. One is enough; the second covers the time until its failure is
-    /// noticed.
+    /// Number of daemons that poll the store on behalf of all. One suffices; a second one covers the time
+    /// until a failure of the first is detected.
     pub readers: usize,
-    /// Interval between their reads. A leaving server has to be known within two seconds of its entry.
+    /// Interval between the reads of a reader. All daemons must learn of a leaving server within two seconds
+    /// after the store lists it as leaving.
     pub period_ms: Millis,
-    /// Age of its copy at which a daemon reads the store itself. Together with `period_ms` it stays below the
-    /// two seconds; below two intervals a single lost message would cause a call.
+    /// Age of its copy at which a daemon reads the store itself. The sum with `period_ms` must stay below two
+    /// seconds. A value below twice `period_ms` would cause a call after a single lost message.
     pub stale_ms: Millis,
 }
 
@@ -29,12 +30,12 @@
     }
 }
 
-/// What another daemon reports of its copy.
+/// Report of another daemon on its copy of the resource.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PeerReport {
-    /// Whether it equals the copy of this daemon.
+    /// Whether the other daemon's copy equals the copy of this daemon.
     pub is_same: bool,
-    /// Age of its copy.
+    /// Age of the other daemon's copy.
     pub age_us: Micros,
 }
 
@@ -42,9 +43,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RefreshSchedule {
     settings: RefreshSettings,
-    /// The copy here is at least as recent as the store's contents at this time.
+    /// The local copy is at least as recent as the contents of the store at this time.
     as_of_us: Option<MonoTime>,
-    /// The same, counting only this daemon's own reads.
+    /// Start of this daemon's last successful read.
     own_read_us: Option<MonoTime>,
     /// Start of the last read, successful or not.
     last_attempt_us: Option<MonoTime>,
@@ -52,7 +53,7 @@
     failures: u32,
     /// Whether another daemon has a newer copy.
     is_behind: bool,
-    /// Until when the first read is left to the readers.
+    /// Time until which a daemon that is not a reader and has no copy defers its first read.
     deferred_until_us: MonoTime,
 }
 
@@ -70,10 +71,10 @@
         }
     }
 
-    /// Leaves the first read to the readers until `until_us`.
+    /// Defers the first read until `until_us` while this daemon is not a reader and has no copy.
     ///
-    /// When hundreds of daemons start together and each reads the whole list page by page, the store refuses
-    /// them.
+    /// When hundreds of daemons start together and each reads the whole list page by page, the store rejects
+    /// their reads.
     pub fn defer_first_read(&mut self, until_us: MonoTime) {
         self.deferred_until_us = until_us;
     }
@@ -102,19 +103,19 @@
         self.is_behind = false;
     }
 
-    /// Records that another daemon sent the change that was missing here. Earlier failed reads say nothing of
-    /// the store any more: another daemon has read it since.
+    /// Records that another daemon sent the change that the local copy lacked. Resets the count of failed
+    /// reads, since the store has answered another daemon in the meantime.
     pub fn caught_up(&mut self) {
         self.is_behind = false;
         self.failures = 0;
     }
 
-    /// Whether a copy of this age is newer than the one here.
+    /// Whether the local copy is older than a copy of age `age_us`.
     pub fn is_older_than(&self, now_us: MonoTime, age_us: Micros) -> bool {
         self.as_of_us < Some(MonoTime(now_us.0.saturating_sub(age_us.0)))
     }
 
-    /// Takes a report of another daemon. Returns whether this daemon has to read now.
+    /// Applies a report of another daemon. Returns whether this daemon has to read now.
     pub fn peer_reported(&mut self, now_us: MonoTime, report: PeerReport) -> bool {
         let as_of_us = Some(MonoTime(now_us.0.saturating_sub(report.age_us.0)));
         let is_newer = as_of_us > self.as_of_us;
@@ -136,18 +137,20 @@
         Some(now_us.since(self.as_of_us?))
     }
 
-    /// Age of the last own read, which is what this daemon reports to others. An age that was received lacks
-    /// the transit time of the message. Passed on repeatedly it would stand still, and with no reader left no
-    /// daemon would read: routes came into force 3.9 s late among 67 daemons.
+    /// Age of this daemon's last successful read, which it reports to other daemons. It does not forward ages
+    /// from other daemons, because they lack the transit time of the message: if daemons forward them to each
+    /// other, the age stops growing, and once the readers have failed no daemon reads the store. Among 67
+    /// daemons, routes came into force 3.9 s late for this reason.
     pub fn read_age_us(&self, now_us: MonoTime) -> Option<Micros> {
         Some(now_us.since(self.own_read_us?))
     }
 
     /// Time of the next read for a daemon of this rank among the readers.
     ///
-    /// If the readers of hundreds of daemons are late and all the others read at once, the store falls behind
-    /// for that reason, and they never stop. So in a large fleet they take over one after the other, and the
-    /// first read that succeeds holds off the rest.
+    /// If the readers of a fleet of hundreds of daemons are late and all other daemons read at once, the
+    /// store is overloaded, reads stay late and the overload persists. So in a large fleet the daemons take
+    /// over in rank order, and after the first successful read the daemons of higher rank do not need to
+    /// read.
     pub fn next_read_us(&self, rank: usize) -> MonoTime {
         let is_reader = rank < self.readers();
         let Some(last_attempt_us) = self.last_attempt_us else {
@@ -170,8 +173,8 @@
         retry_us.max(as_of_us + self.stale_ms(rank)).max(last_attempt_us + self.settings.period_ms)
     }
 
-    /// Number of readers. Where others take over one after the other, the second reader need not read all the
-    /// time: for each reader the store sends every renewal of every server's entry.
+    /// Number of readers. In a fleet in which daemons take over in rank order, one reader suffices, and a
+    /// second one would be costly: the store sends each reader every renewal of every server's entry.
     fn readers(&self) -> usize {
         if self.deferred_until_us > MonoTime::default() { DEFERRED_READERS } else { self.settings.readers }
     }
@@ -183,7 +186,8 @@
         self.settings.stale_ms + Millis(TAKEOVER_STAGGER_MS.0 * predecessors)
     }
 
-    /// When to ask another daemon that has a newer copy. Failures of the store are no reason to delay that.
+    /// Time of the next query to another daemon that has a newer copy. Failed reads of the store do not delay
+    /// it.
     pub fn next_peer_query_us(&self) -> MonoTime {
         self.last_attempt_us
             .map_or(MonoTime::default(), |last_attempt_us| last_attempt_us + CATCH_UP_PAUSE_MS)
@@ -198,7 +202,7 @@
     }
 }
 
-/// Number of readers in a data centre whose other daemons take over one after the other.
+/// Number of readers in a data centre whose other daemons take over in rank order.
 const DEFERRED_READERS: usize = 1;
 
 /// Delay between two daemons of a data centre that take over from late readers.
@@ -207,19 +211,21 @@
 /// Pause after the first failed read; doubled with each further one.
 const RETRY_BASE_MS: Millis = Millis(100);
 
-/// Limits the pause to 0.8 s: entries are back two seconds after the store is, and have to be known by then.
+/// Limits the pause to 0.8 s. After an outage of the store, the entries are present again within two seconds,
+/// and daemons have to know them by then.
 const RETRY_DOUBLINGS_MAX: u32 = 3;
 
-/// Limits the pause to 6.4 s where readers read for hundreds of daemons: a store that is overloaded would not
-/// recover if all of them asked as often as the readers.
+/// Limits the pause to 6.4 s for daemons other than the readers of a large fleet: an overloaded store would
+/// not recover if hundreds of daemons retried as often as the readers.
 const DEFERRED_RETRY_DOUBLINGS_MAX: u32 = 6;
 
 /// Minimum pause between two reads of a daemon that is behind: a change announced by another daemon may not
 /// be readable at once.
 const CATCH_UP_PAUSE_MS: Millis = Millis(50);
 
-/// Whether the daemon on `own` is a reader, given the live `others`: the first few by the hash of their
-/// names, so that all agree without communication and another daemon takes over when a reader is gone.
+/// Whether the daemon on `own` is a reader, given the live `others`. The daemons with the lowest hashes of
+/// their host names are the readers, so that all daemons choose the same ones without communication and
+/// another daemon takes over when a reader fails.
 pub fn is_reader<'a, Others>(settings: &RefreshSettings, own: &HostId, others: Others) -> bool
 where
     Others: Iterator<Item = &'a HostId>,
--- a/crates/core/src/sched/plain_events.rs
+++ b/crates/core/src/sched/plain_events.rs
@@ -23,7 +23,7 @@
     pub max_wait_ms: Millis,
 }
 
-/// Instance as listed by the platform.
+/// Instance of a plain service in the platform's list.
 #[derive(Clone, Debug)]
 pub struct PlainInstance {
     /// Server name.
@@ -48,7 +48,7 @@
     Failed {
         /// Request ID.
         request_id: RequestId,
-        /// Reason.
+        /// Cause of the failure.
         cause: FailureCause,
     },
     /// The caller closed its connection.
@@ -82,14 +82,14 @@
         number: u64,
         /// Credit lent.
         credit: Credit,
-        /// Credit that the lender has left.
+        /// Credit that remains with the lender.
         spare: Credit,
     },
     /// An instance's published rate limit is used up.
     Limited {
         /// Server name.
         server: BackendServerId,
-        /// The limit, and the time for which it is used up.
+        /// The limit, and the time until the instance accepts one more call.
         reached: LimitReached,
     },
     /// A requested wake-up time was reached.
@@ -120,8 +120,8 @@
         server: BackendServerId,
         /// Time after which `Failed` with `Timeout` is reported.
         timeout_ms: Millis,
-        /// Whether a new connection is required. On a stale pooled connection it could remain unknown whether
-        /// a call that must not be repeated ran.
+        /// Whether a new connection is required. If a stale pooled connection fails, it is unknown whether
+        /// the call ran, and a call that must not be repeated cannot be retried.
         fresh_connection: bool,
     },
     /// Refuse the call; it did not run.
@@ -156,7 +156,7 @@
     pub answered: u64,
     /// Calls refused.
     pub refused: u64,
-    /// Calls with unknown execution.
+    /// Calls for which it is unknown whether they ran.
     pub unknown: u64,
     /// Retries started.
     pub retries: u64,
--- a/crates/core/src/slots/ledger/progress.rs
+++ b/crates/core/src/slots/ledger/progress.rs
@@ -1,4 +1,5 @@
-//! Progress and end of grants, and what they show about the server's speed and health.
+//! Updates of grants as their requests progress and end, and the server's speed and health inferred from
+//! them.
 
 use crate::ids::RequestId;
 use crate::units::{Micros, Millis, MonoTime, Tokens};
@@ -28,14 +29,14 @@
         };
         held.expires_us = now_us + self.settings.grant_ttl_ms;
         if held.phase == GrantPhase::Transferring {
-            // The confirmation was lost, and the daemon asks again.
+            // The confirmation was lost, and the requesting daemon repeats its message.
             let to = held.requester.clone();
             let message = confirm_message(&self.server, request_id, held);
             actions.push(LedgerAction::Send { to, message });
         }
         if held.phase == GrantPhase::Ready {
-            // The transfer waits for the link or its slot. The reply shows the daemon that the watcher is
-            // alive.
+            // The transfer waits for the link or its slot. The reply shows the requesting daemon that the
+            // daemon with this ledger is still running.
             let requester = held.requester.clone();
             self.send_queued(now_us, &requester, request_id, ask, actions);
             return;
@@ -52,8 +53,9 @@
 
     pub(super) fn prefill_finished(&mut self, now_us: MonoTime, work_us: Micros, work_tokens: Tokens) {
         self.mark_healthy();
-        // The server processes one prompt at a time: the time since the previous one ended is an upper bound
-        // of this one's service time that excludes its wait behind the previous one.
+        // The server processes one prompt at a time, so this prompt started no earlier than the previous one
+        // ended. The time since then is an upper bound of its service time that excludes its time in the
+        // server's queue.
         let previous_us = std::mem::replace(&mut self.last_prefill_end_us, now_us);
         let service_us = work_us.0.min(now_us.since(previous_us).0);
         if work_tokens.0 >= MIN_OBSERVED_TOKENS {
@@ -73,9 +75,12 @@
         if token_us == Micros::ZERO {
             return;
         }
-        let seen = token_us.0 as f64;
-        self.token_us =
-            if self.observed { self.token_us + SPEED_WEIGHT * (seen - self.token_us) } else { seen };
+        let sample_us = token_us.0 as f64;
+        self.token_us = if self.observed {
+            self.token_us + SPEED_WEIGHT * (sample_us - self.token_us)
+        } else {
+            sample_us
+        };
         self.observed = true;
     }
 
@@ -87,10 +92,10 @@
         outcome: GrantOutcome,
         actions: &mut Vec<LedgerAction>,
     ) {
-        let Some(held) = self.held.remove_entry(&request_id) else {
+        let Some(entry) = self.held.remove_entry(&request_id) else {
             return;
         };
-        let (id, held) = held;
+        let (id, held) = entry;
         if held.ask != ask {
             self.held.insert(id, held);
             return;
@@ -114,9 +119,10 @@
         self.reopen_ms = self.settings.reopen_ms;
     }
 
-    /// Counts a timeout or failure against the server and closes it at the limit. A server that accepts
-    /// requests and never answers looks the least loaded and attracts all work, while it still passes health
-    /// checks. After a delay a single request probes it, and only its success reopens the server.
+    /// Counts a timeout or failure of the server and stops granting its slots once the limit is reached. A
+    /// server that accepts requests and never answers appears to be the least loaded, so it would be assigned
+    /// all requests, while it still passes health checks. After a delay a single request probes the server,
+    /// and only the success of this probe reopens it.
     pub(super) fn record_timeout(&mut self, now_us: MonoTime, actions: &mut Vec<LedgerAction>) {
         self.timeouts += 1;
         if self.timeouts < self.settings.timeouts_max {
@@ -125,7 +131,7 @@
         self.counters.closed += 1;
         self.closed_until_us = Some(now_us + self.reopen_ms);
         self.reopen_ms = Millis((self.reopen_ms.0 * 2).min(self.settings.reopen_max_ms.0));
-        // One more timeout after the probe closes it again.
+        // If the probe fails, this single timeout closes the server again.
         self.timeouts = self.settings.timeouts_max - 1;
         self.deny_all(now_us, DenyReason::Unhealthy, actions);
     }
--- a/crates/core/src/spread/mod.rs
+++ b/crates/core/src/spread/mod.rs
@@ -204,7 +204,7 @@
 
     fn send_digest_across(&mut self, now_us: MonoTime, view: &MembersView, actions: &mut Vec<SpreadAction>) {
         let is_bridge = self.rank("bridge", self.settings.bridges, view).is_some();
-        if !is_bridge || !is_due(self.last_bridge_us, now_us, self.settings.bridge_ms) {
+        if !is_bridge || !is_due(self.last_bridge_us, now_us, self.settings.bridge_interval_ms) {
             return;
         }
         self.last_bridge_us = Some(now_us);
--- a/crates/core/src/spread/settings.rs
+++ b/crates/core/src/spread/settings.rs
@@ -14,7 +14,7 @@
     /// Number of daemons per data centre that exchange messages with other data centres.
     pub bridges: usize,
     /// Interval between digests of a bridge to other data centres.
-    pub bridge_ms: Millis,
+    pub bridge_interval_ms: Millis,
     /// Maximum bytes of delivered records retained for peers that lack them.
     pub retained_bytes: usize,
     /// Record size in bytes above which the content is not relayed.
@@ -44,7 +44,7 @@
             fanout: 2,
             readers: 3,
             bridges: 3,
-            bridge_ms: Millis(1_000),
+            bridge_interval_ms: Millis(1_000),
             retained_bytes: 256 << 10,
             elided_above_bytes: 8 << 10,
             part_bytes: 4 << 10,
--- a/crates/core/tests/relay/joining.rs
+++ b/crates/core/tests/relay/joining.rs
@@ -1,4 +1,4 @@
-//! Daemons that start together, with a store that sends a limited number of bytes.
+//! Simulation of a fleet of daemons that start at the same time, with a store of limited bandwidth.
 
 use hibiscusvale_core::relay::joining::{Joining, JoiningSettings, JoiningStep};
 use hibiscusvale_core::units::{Millis, MonoTime};
@@ -12,25 +12,29 @@
 /// Time after which a read of the store times out.
 const TIMEOUT_MS: u64 = 800;
 
-/// Answers that a daemon gives per second to others.
+/// Maximum number of queries from other daemons that a daemon answers per second.
 const ANSWERS_PER_S: usize = 20;
 
 const DATA_CENTRES: usize = 6;
 
-/// Time from knowing the others until the first message reaches them, on hosts with a small part of a core.
-const HEARD_AFTER_MS: u64 = 250;
+/// Time from a daemon's receipt of the member list until its first message reaches the other daemons, on
+/// hosts with a fraction of a core.
+const FIRST_MESSAGE_DELAY_MS: u64 = 250;
 
 struct Daemon {
     joining: Joining,
     starts_ms: u64,
     next_step_ms: u64,
-    /// When the read ends, and whether the answer was in time.
-    reads: Option<(u64, bool)>,
+    /// End of the pending read, and whether it succeeds before the timeout.
+    read: Option<(u64, bool)>,
+    /// Time at which the daemon received the member list.
     informed_ms: Option<u64>,
-    answers: (u64, usize),
+    /// Current second, and number of queries received in it.
+    queries: (u64, usize),
 }
 
-/// Simulates a start; returns when the last daemon knew the others, and the bytes that the store sent.
+/// Simulates the start of a fleet. Returns the time at which the last daemon received the member list, and
+/// the number of bytes that the store sent.
 fn simulate(daemons: usize, settings: JoiningSettings, seed: u64) -> (u64, u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut fleet: Vec<Daemon> = (0..daemons)
@@ -41,14 +45,14 @@
                 joining,
                 starts_ms,
                 next_step_ms: starts_ms,
-                reads: None,
+                read: None,
                 informed_ms: None,
-                answers: (0, 0),
+                queries: (0, 0),
             }
         })
         .collect();
     let (mut busy_until_ms, mut bytes) = (0, 0);
-    // Daemons that know all others, by data centre: the rest receive messages from them.
+    // Daemons that have the member list, by data centre. They send messages to the daemons that lack it.
     let mut informed: Vec<Vec<(u64, usize)>> = vec![Vec::new(); DATA_CENTRES];
     for now_ms in 0..60_000 {
         let now_us = MonoTime(now_ms * 1_000);
@@ -57,11 +61,11 @@
             if daemon.informed_ms.is_some() || now_ms < daemon.starts_ms {
                 continue;
             }
-            if let Some((at_ms, is_in_time)) = daemon.reads {
+            if let Some((at_ms, is_in_time)) = daemon.read {
                 if now_ms < at_ms {
                     continue;
                 }
-                daemon.reads = None;
+                daemon.read = None;
                 if is_in_time {
                     daemon.informed_ms = Some(now_ms);
                     informed[number % DATA_CENTRES].push((now_ms, number));
@@ -73,16 +77,16 @@
                 continue;
             }
             let informed = &mut informed[number % DATA_CENTRES];
-            let heard = informed.partition_point(|(at_ms, _)| now_ms >= at_ms + HEARD_AFTER_MS);
-            match daemon.joining.step(now_us, heard > 0) {
+            let reachable = informed.partition_point(|(at_ms, _)| now_ms >= at_ms + FIRST_MESSAGE_DELAY_MS);
+            match daemon.joining.step(now_us, reachable > 0) {
                 JoiningStep::AskPeer => {
                     daemon.next_step_ms = now_ms + 2;
-                    let peer = &mut fleet[informed[rng.random_range(0..heard)].1];
-                    if peer.answers.0 != now_ms / 1_000 {
-                        peer.answers = (now_ms / 1_000, 0);
+                    let peer = &mut fleet[informed[rng.random_range(0..reachable)].1];
+                    if peer.queries.0 != now_ms / 1_000 {
+                        peer.queries = (now_ms / 1_000, 0);
                     }
-                    peer.answers.1 += 1;
-                    if peer.answers.1 <= ANSWERS_PER_S {
+                    peer.queries.1 += 1;
+                    if peer.queries.1 <= ANSWERS_PER_S {
                         fleet[number].informed_ms = Some(now_ms);
                         informed.push((now_ms, number));
                     }
@@ -92,7 +96,7 @@
                     bytes += size;
                     busy_until_ms = busy_until_ms.max(now_ms) + size / STORE_BYTES_PER_MS;
                     let is_in_time = busy_until_ms <= now_ms + TIMEOUT_MS;
-                    daemon.reads = Some((busy_until_ms.min(now_ms + TIMEOUT_MS), is_in_time));
+                    daemon.read = Some((busy_until_ms.min(now_ms + TIMEOUT_MS), is_in_time));
                 }
                 JoiningStep::Wait => daemon.next_step_ms = now_ms + 50,
             }
@@ -101,11 +105,12 @@
             return (now_ms, bytes);
         }
     }
-    panic!("not all daemons know the others after a minute");
+    panic!("some daemons lack the member list after 60 s");
 }
 
-/// 986 daemons read 986 entries each at once, 194 MB. Most reads timed out and were repeated, and nothing
-/// else could be read from the store for the rest of the run.
+/// Guards against overload of the store when a fleet starts: 986 daemons that each read 986 entries at once
+/// requested 194 MB. Most reads timed out and were repeated, and all other reads of the store failed for the
+/// rest of the run.
 #[rstest]
 #[case(9)]
 #[case(986)]
@@ -119,7 +124,8 @@
     }
 }
 
-/// The store failed, and no message of another daemon has arrived. The read is repeated after a random pause.
+/// A read of the store fails before any message of another daemon arrives. It is retried after a random
+/// pause.
 #[test]
 fn a_failed_read_is_retried_after_a_pause() {
     let mut joining = Joining::new(JoiningSettings::default(), MonoTime(0), 0.0);
--- a/crates/daemon/src/cmd/relay.rs
+++ b/crates/daemon/src/cmd/relay.rs
@@ -28,7 +28,8 @@
 impl Relay {
     /// Returns after a graceful stop. Further signals have no effect: the grace period bounds the shutdown.
     pub fn run(self) -> anyhow::Result<()> {
-        // Handlers come first: by default SIGHUP ends the process, and it may arrive during startup when settings change.
+        // Installs the signal handlers first: without one, a SIGHUP that announces changed settings during startup ends
+        // the process.
         let signals = signals::watch()?;
         let settings = RelaySettings::load(&self.file)?;
         let store = Store::new(settings.store.address);
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -165,7 +165,7 @@
                 self.metrics.count_event(ConfigEvent::StateAdopted);
                 // The peer's log is assumed to hold a checkpoint near its state. A replaced host must not write a
                 // checkpoint at each start.
-                self.writer.note_checkpoint(self.fold.state().next_offset(), now_us);
+                self.writer.record_checkpoint(self.fold.state().next_offset(), now_us);
             }
             Ok(Ok(Adopted::NotNewer)) => self.has_peer_state = true,
             Ok(Err(error)) => {
--- a/crates/router/src/config/checkpoint_writer.rs
+++ b/crates/router/src/config/checkpoint_writer.rs
@@ -1,4 +1,4 @@
-//! Writes configuration checkpoints when it is this daemon's turn.
+//! Writes configuration checkpoints to the log when the schedule selects this daemon.
 
 use std::fmt;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 
 /// Writes configuration checkpoints to the log.
 pub(super) struct CheckpointWriter {
-    duty: CheckpointSchedule,
+    schedule: CheckpointSchedule,
     readers: usize,
     host: HostId,
     members: Arc<ArcSwap<MembersView>>,
@@ -31,7 +31,7 @@
 
 impl fmt::Debug for CheckpointWriter {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("CheckpointWriter").field("duty", &self.duty).finish_non_exhaustive()
+        f.debug_struct("CheckpointWriter").field("duty", &self.schedule).finish_non_exhaustive()
     }
 }
 
@@ -42,13 +42,13 @@
         members: Arc<ArcSwap<MembersView>>,
         log: Arc<dyn Log>,
     ) -> Self {
-        let duty = CheckpointScheduleSettings {
+        let schedule_settings = CheckpointScheduleSettings {
             interval_ms: settings.checkpoint_interval_ms,
             step_ms: settings.checkpoint_step_ms,
             ..CheckpointScheduleSettings::default()
         };
         Self {
-            duty: CheckpointSchedule::new(duty, MonoTime(0)),
+            schedule: CheckpointSchedule::new(schedule_settings, MonoTime(0)),
             readers: settings.readers,
             host,
             members,
@@ -59,11 +59,12 @@
     }
 
     /// Records that a state at `next_offset` is stored in a checkpoint.
-    pub(super) fn note_checkpoint(&mut self, next_offset: Offset, now_us: MonoTime) {
-        self.duty.record_checkpoint(next_offset, now_us);
+    pub(super) fn record_checkpoint(&mut self, next_offset: Offset, now_us: MonoTime) {
+        self.schedule.record_checkpoint(next_offset, now_us);
     }
 
-    /// Updates the writer from a page of the log: the newest checkpoint, or its loss.
+    /// Updates the schedule after a page of the log was folded: records a new checkpoint, or that the last one is
+    /// no longer in the log.
     pub(super) fn observe(&mut self, fold: &ConfigFold, page: &LogPage, now_us: MonoTime) {
         let is_empty = page.start_offset == page.next_offset;
         let checkpoint = fold.checkpoint();
@@ -71,25 +72,25 @@
             && checkpoint != self.last
         {
             self.last = checkpoint;
-            self.duty.record_checkpoint(newest.next_offset, now_us);
+            self.schedule.record_checkpoint(newest.next_offset, now_us);
         }
         let has_expired = checkpoint.is_some_and(|newest| newest.offset < page.start_offset);
         if has_expired || is_empty {
-            self.duty.mark_lost(now_us);
+            self.schedule.mark_lost(now_us);
         }
     }
 
-    /// Starts a write if it is this daemon's turn. Only log readers write, since only they see whether another
-    /// daemon has written, and only after reading to the end of the log.
+    /// Starts a write if the schedule selects this daemon. Only log readers that have read to the end of the log
+    /// write, since only they know whether another daemon has written.
     pub(super) fn start_if_due(&mut self, fold: &ConfigFold, is_reader: bool, now_us: MonoTime) {
         if self.pending.is_some() || !is_reader || fold.log_view() != LogView::CaughtUp {
             return;
         }
-        let position = self.writer_rank();
-        if !self.duty.is_due(fold.state().next_offset(), position.rank, now_us) {
+        let position = self.writer_position();
+        if !self.schedule.is_due(fold.state().next_offset(), position.rank, now_us) {
             return;
         }
-        self.duty.record_attempt(position.readers_total, now_us);
+        self.schedule.record_attempt(position.readers_total, now_us);
         let record = Bytes::from(Record::Checkpoint(fold.seal()).encode());
         let log = Arc::clone(&self.log);
         self.pending = Some(Box::pin(async move { log.append(Stream::Config, vec![record]).await }));
@@ -106,9 +107,9 @@
     }
 
     /// Position of this daemon among the log readers of all data centres.
-    fn writer_rank(&self) -> WriterRank {
+    fn writer_position(&self) -> WriterPosition {
         let members = self.members.load();
-        let mut position = WriterRank::default();
+        let mut position = WriterPosition::default();
         let mut is_found = false;
         for data_centre in members.members.keys() {
             for reader in owners_in(JobHash::of(LOG_READER_JOB), data_centre, self.readers, &members) {
@@ -123,7 +124,7 @@
 
 /// Position of a daemon among the candidate checkpoint writers.
 #[derive(Clone, Copy, Debug, Default)]
-struct WriterRank {
+struct WriterPosition {
     rank: u32,
     readers_total: u32,
 }
--- a/crates/router/src/directory.rs
+++ b/crates/router/src/directory.rs
@@ -1,9 +1,9 @@
-//! The directory of backend servers: the platform's host list, combined with the leaving state that servers have
-//! reported since.
+//! The directory of backend servers: the platform's host list, combined with newer information on which servers are
+//! leaving.
 //!
 //! The list lags by several seconds. A server that refuses work because it is leaving is treated as leaving
-//! immediately, here and on the daemons that are notified, so that it receives no new work while the list still
-//! calls it live.
+//! immediately, by this daemon and by the daemons that it notifies, so that it receives no new work while the list
+//! still shows it as live.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -28,11 +28,11 @@
 /// Delay after a failed read of the list. The list changes at most some thousand times a day.
 const LIST_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Delay after an answer without changes. Most such answers were already held back for seconds by the long poll.
+/// Delay after an answer without changes. The long poll usually delays such an answer by seconds already.
 const UNCHANGED_DELAY: Duration = Duration::from_millis(100);
 
-/// How long a server is treated as leaving although the list still calls it live. The list lags by seconds; a
-/// server restarted under the same name within this time receives its first work only after it.
+/// How long a server is treated as leaving although the list still shows it as live. The list lags by seconds. A
+/// server that is restarted under the same name within this time receives no work until the time has passed.
 const LEAVING_TTL_MS: Millis = Millis(30_000);
 
 /// Kind of a backend server.
@@ -40,7 +40,7 @@
 pub enum BackendKind {
     /// A model engine.
     Engine {
-        /// Service that it belongs to, where requests are routed by service.
+        /// Service that it belongs to; set if requests are routed by service.
         service: Option<String>,
         /// Its role.
         role: EngineRole,
@@ -206,7 +206,7 @@
         self.listing.load_full()
     }
 
-    /// Replaces the listing. There is a single reader, so versions do not arrive out of order; a lower version
+    /// Replaces the listing. A single task reads the list, so versions do not arrive out of order; a lower version
     /// means that the platform reset its host list.
     pub fn adopt(&self, mut listing: Listing) {
         listing.models = served_models(&listing.servers);
@@ -240,8 +240,8 @@
         self.version.subscribe()
     }
 
-    /// Marks a server as leaving, because it reported so or was seen to be. Returns whether this is new
-    /// information.
+    /// Marks a server as leaving, after a report or an observation that it is. Returns false if it was marked
+    /// already.
     pub fn mark_leaving(&self, now_us: MonoTime, server: &BackendServerId) -> bool {
         let mut leaving = self.leaving_until_us.lock();
         leaving.retain(|_, until_us| *until_us > now_us);
--- a/crates/router/src/servers.rs
+++ b/crates/router/src/servers.rs
@@ -12,9 +12,9 @@
 
 /// Backend servers by name, with a digest that is updated on each change.
 ///
-/// Load: thousands of servers, a few of which change each second. Failure prevented: daemons compare what they
-/// know by a digest on each message and each change; computing it from all servers each time takes most of the CPU
-/// of a small host.
+/// Daemons compare their sets of servers by digest on each message and each change. With thousands of servers, a
+/// few of which change each second, computing the digest from all servers each time takes most of the CPU of a
+/// small host.
 #[derive(Clone, Debug, Default)]
 pub struct Servers {
     by_name: HashMap<BackendServerId, Arc<BackendServer>>,
@@ -77,7 +77,9 @@
     /// Servers that are missing from `before` or differ from their entry there.
     pub fn changed_since<'a>(&'a self, before: &'a Self) -> impl Iterator<Item = &'a Arc<BackendServer>> {
         self.values().filter(|server| {
-            before.get(&server.id).is_none_or(|was| !Arc::ptr_eq(was, server) && was != *server)
+            before
+                .get(&server.id)
+                .is_none_or(|previous| !Arc::ptr_eq(previous, server) && previous != *server)
         })
     }
 
--- a/crates/router/tests/ops/settings.rs
+++ b/crates/router/tests/ops/settings.rs
@@ -37,7 +37,7 @@
         Err(SettingsError::Invalid(problems)) => {
             problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
         }
-        other => panic!("expected a refusal, got {other:?}"),
+        other => panic!("expected SettingsError::Invalid, got {other:?}"),
     }
 }
 
@@ -77,18 +77,19 @@
     assert!(message.contains("nadifa"), "{message}");
 }
 
-/// A key that lacks digits is rejected. The error message may reach a terminal or a log and must not contain the rest of
-/// the key.
+/// A key with too few digits is rejected. The error message may reach a terminal or a log and must not contain the
+/// digits that were given.
 #[test]
 fn error_does_not_contain_rejected_key() {
-    let short = &KEY[..62];
-    let message = error_message(
-        &file_with("")
-            .replace(&format!("key = \"{KEY}\"\n\n[partners"), &format!("key = \"{short}\"\n\n[partners")),
-    );
+    let short_key = &KEY[..62];
+    let message =
+        error_message(&file_with("").replace(
+            &format!("key = \"{KEY}\"\n\n[partners"),
+            &format!("key = \"{short_key}\"\n\n[partners"),
+        ));
     assert!(message.contains("line 17"), "{message}");
     assert!(message.contains("64 hexadecimal digits"), "{message}");
-    assert!(!message.contains(short), "{message}");
+    assert!(!message.contains(short_key), "{message}");
 }
 
 /// The whole settings struct may be logged while debugging.
