--- a/crates/core/src/sched/directory.rs
+++ b/crates/core/src/sched/directory.rs
@@ -20,7 +20,7 @@
 
 /// Observed change of a server's state, available before the list shows it.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum StateSignal {
+pub enum StatusUpdate {
     /// The server answered that it is leaving.
     Leaving,
     /// The server accepts work again.
@@ -82,7 +82,7 @@
         if self.load.token_us == Micros::ZERO { default_us.0 } else { self.load.token_us.0 }
     }
 
-    /// Whether the server may be given work. The list lags, so a leaving signal takes effect before the list
+    /// Whether the server may be given work. The list lags, so a leaving status takes effect before the list
     /// shows it.
     fn is_usable(&self, now_us: MonoTime) -> bool {
         self.listed
@@ -290,18 +290,18 @@
         }
     }
 
-    /// Applies a state signal that holds until `until_us` or the next signal.
-    pub(super) fn apply_signal(&mut self, index: ServerIndex, signal: StateSignal, until_us: MonoTime) {
+    /// Applies a status update that holds until `until_us` or the next update.
+    pub(super) fn apply_status(&mut self, index: ServerIndex, update: StatusUpdate, until_us: MonoTime) {
         let Some(entry) = self.servers.get_mut(index as usize) else {
             return;
         };
-        match signal {
-            StateSignal::Leaving => entry.leaving_until_us = until_us,
-            StateSignal::Live => {
+        match update {
+            StatusUpdate::Leaving => entry.leaving_until_us = until_us,
+            StatusUpdate::Live => {
                 entry.leaving_until_us = MonoTime(0);
                 entry.unresponsive_until_us = MonoTime(0);
             }
-            StateSignal::Unresponsive => entry.unresponsive_until_us = until_us,
+            StatusUpdate::Unresponsive => entry.unresponsive_until_us = until_us,
         }
     }
 
--- a/crates/core/src/sched/events.rs
+++ b/crates/core/src/sched/events.rs
@@ -7,7 +7,7 @@
 
 use super::affinity::CacheEvent;
 use super::counters::{FailReason, RefusalReason, WasteCause};
-use super::directory::{ServerRecord, StateSignal};
+use super::directory::{ServerRecord, StatusUpdate};
 
 /// Attempt number of a request. Results that carry the number of an earlier attempt are ignored.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
@@ -165,11 +165,11 @@
         events: Vec<CacheEvent>,
     },
     /// Observed change of a server's state, available before the list shows it.
-    StateSignal {
+    StatusUpdate {
         /// Server name.
         server: BackendServerId,
         /// Observed state.
-        signal: StateSignal,
+        update: StatusUpdate,
     },
     /// Complete list of the engines of the region.
     Servers(Vec<ServerRecord>),
--- a/crates/core/src/sched/failing.rs
+++ b/crates/core/src/sched/failing.rs
@@ -7,7 +7,7 @@
 use crate::units::{Micros, MonoTime, Tokens};
 
 use super::counters::{FailReason, WasteCause};
-use super::directory::StateSignal;
+use super::directory::StatusUpdate;
 use super::events::{Action, Attempt, FailureCause, WorkStage};
 use super::request::{Hold, Request, Stage};
 use super::scheduler::Scheduler;
@@ -98,8 +98,8 @@
     pub(super) fn note_leaving(&mut self, now_us: MonoTime, request_id: RequestId, cause: FailureCause) {
         let server = self.requests.get(&request_id).and_then(|request| request.failed_at);
         if let (Some(server), FailureCause::Leaving) = (server, cause) {
-            let until_us = self.signal_expiry(now_us, StateSignal::Leaving);
-            self.directory.apply_signal(server, StateSignal::Leaving, until_us);
+            let until_us = self.status_expiry(now_us, StatusUpdate::Leaving);
+            self.directory.apply_status(server, StatusUpdate::Leaving, until_us);
         }
     }
 
--- a/crates/core/src/sched/instance.rs
+++ b/crates/core/src/sched/instance.rs
@@ -3,7 +3,7 @@
 use crate::ids::BackendServerId;
 use crate::units::{CreditPerSecond, Micros, Millis, MonoTime};
 
-use super::directory::StateSignal;
+use super::directory::StatusUpdate;
 use super::events::FailureCause;
 
 /// Report that a server's published rate limit is used up.
@@ -39,8 +39,8 @@
     pub timeout_floor_ms: Millis,
     /// Upper bound of the call timeout.
     pub timeout_ceiling_ms: Millis,
-    /// Time for which a leaving signal holds; see [`super::SchedulerSettings::signal_ttl_ms`].
-    pub signal_ttl_ms: Millis,
+    /// Time for which a leaving status holds; see [`super::SchedulerSettings::status_ttl_ms`].
+    pub status_ttl_ms: Millis,
 }
 
 impl InstanceSettings {
@@ -55,7 +55,7 @@
         timeout_factor: 20,
         timeout_floor_ms: Millis(500),
         timeout_ceiling_ms: Millis(10_000),
-        signal_ttl_ms: Millis(30_000),
+        status_ttl_ms: Millis(30_000),
     };
 }
 
@@ -137,18 +137,18 @@
         self.listed = false;
     }
 
-    /// Applies the listed state. Leaving signals are kept separately, because the list lags.
+    /// Applies the listed state. A leaving status is kept separately, because the list lags.
     pub(crate) fn relist(&mut self, capacity: u32, leaving: bool) {
         self.listed = true;
         self.capacity = capacity;
         self.leaving = leaving;
     }
 
-    pub(crate) fn apply_signal(&mut self, now_us: MonoTime, signal: StateSignal) {
-        match signal {
-            StateSignal::Leaving => self.leaving_until_us = now_us + self.settings.signal_ttl_ms,
-            StateSignal::Live => self.leaving_until_us = MonoTime(0),
-            StateSignal::Unresponsive => self.eject(now_us, true),
+    pub(crate) fn apply_status(&mut self, now_us: MonoTime, update: StatusUpdate) {
+        match update {
+            StatusUpdate::Leaving => self.leaving_until_us = now_us + self.settings.status_ttl_ms,
+            StatusUpdate::Live => self.leaving_until_us = MonoTime(0),
+            StatusUpdate::Unresponsive => self.eject(now_us, true),
         }
     }
 
@@ -303,7 +303,7 @@
         self.in_flight = self.in_flight.saturating_sub(1);
         let was_probe = self.end_probe();
         match cause {
-            FailureCause::Leaving => self.leaving_until_us = now_us + self.settings.signal_ttl_ms,
+            FailureCause::Leaving => self.leaving_until_us = now_us + self.settings.status_ttl_ms,
             FailureCause::Timeout | FailureCause::Broken | FailureCause::NotSent => self.failure_streak += 1,
             FailureCause::NoRoom | FailureCause::Limited | FailureCause::Gone | FailureCause::Refused => {}
         }
--- a/crates/core/src/sched/mod.rs
+++ b/crates/core/src/sched/mod.rs
@@ -24,7 +24,7 @@
 
 pub use affinity::{AffinityIndex, CacheEvent, CacheEventKind};
 pub use counters::{Counters, FailReason, RefusalReason, WasteCause};
-pub use directory::{Directory, ServerRecord, ServerState, StateSignal};
+pub use directory::{Directory, ServerRecord, ServerState, StatusUpdate};
 pub use events::{Action, Arrival, Attempt, Event, FailureCause, WorkStage};
 pub use instance::{InstanceSettings, LimitReached};
 pub use plain::{PlainScheduler, PlainSettings};
--- a/crates/core/src/sched/plain.rs
+++ b/crates/core/src/sched/plain.rs
@@ -160,9 +160,9 @@
             PlainEvent::Failed { request_id, cause } => self.failed(now_us, request_id, cause, actions),
             PlainEvent::CallerLeft { request_id } => self.caller_left(now_us, request_id),
             PlainEvent::Instances(list) => self.apply_list(list),
-            PlainEvent::StateSignal { server, signal } => {
+            PlainEvent::StatusUpdate { server, update } => {
                 if let Some(&index) = self.names.get(&server) {
-                    self.instances[index].apply_signal(now_us, signal);
+                    self.instances[index].apply_status(now_us, update);
                 }
             }
             PlainEvent::Load { server, in_flight, capacity, age_us } => {
--- a/crates/core/src/sched/plain_events.rs
+++ b/crates/core/src/sched/plain_events.rs
@@ -4,7 +4,7 @@
 use crate::ids::{BackendServerId, PartnerId, RequestId};
 use crate::units::{Credit, Micros, Millis, MonoTime};
 
-use super::directory::StateSignal;
+use super::directory::StatusUpdate;
 use super::events::FailureCause;
 use super::instance::LimitReached;
 
@@ -59,11 +59,11 @@
     /// Complete list of instances.
     Instances(Vec<PlainInstance>),
     /// Observed change of an instance's state, available before the list shows it.
-    StateSignal {
+    StatusUpdate {
         /// Server name.
         server: BackendServerId,
         /// Observed state.
-        signal: StateSignal,
+        update: StatusUpdate,
     },
     /// Load report of an instance.
     Load {
--- a/crates/core/src/sched/scheduler.rs
+++ b/crates/core/src/sched/scheduler.rs
@@ -12,7 +12,7 @@
 
 use super::affinity::AffinityIndex;
 use super::counters::{Counters, RefusalReason, clamp_retry_after};
-use super::directory::{Directory, ServerIndex, StateSignal};
+use super::directory::{Directory, ServerIndex, StatusUpdate};
 use super::events::{Action, Arrival, Event};
 use super::request::{Hold, Request, Stage};
 use super::retry::RetryBudget;
@@ -125,10 +125,10 @@
                     }
                 }
             }
-            Event::StateSignal { server, signal } => {
-                let until_us = self.signal_expiry(now_us, signal);
+            Event::StatusUpdate { server, update } => {
+                let until_us = self.status_expiry(now_us, update);
                 if let Some(index) = self.directory.index(&server) {
-                    self.directory.apply_signal(index, signal, until_us);
+                    self.directory.apply_status(index, update, until_us);
                 }
             }
             Event::Servers(records) => self.directory.replace(records),
@@ -140,10 +140,10 @@
         self.schedule_wake(now_us, actions);
     }
 
-    pub(super) fn signal_expiry(&self, now_us: MonoTime, signal: StateSignal) -> MonoTime {
-        match signal {
-            StateSignal::Leaving => now_us + self.settings.signal_ttl_ms,
-            StateSignal::Live | StateSignal::Unresponsive => now_us + self.settings.unresponsive_skip_ms,
+    pub(super) fn status_expiry(&self, now_us: MonoTime, update: StatusUpdate) -> MonoTime {
+        match update {
+            StatusUpdate::Leaving => now_us + self.settings.status_ttl_ms,
+            StatusUpdate::Live | StatusUpdate::Unresponsive => now_us + self.settings.unresponsive_skip_ms,
         }
     }
 
--- a/crates/core/src/sched/settings.rs
+++ b/crates/core/src/sched/settings.rs
@@ -89,9 +89,9 @@
     pub attempts_max: u32,
     /// Time for which a server is skipped after its watcher did not answer.
     pub unresponsive_skip_ms: Millis,
-    /// Time for which a leaving signal holds. The list shows the state within that time; if not, the state
+    /// Time for which a leaving status holds. The list shows the state within that time; if not, the state
     /// was short-lived, such as that of an engine restarted between two versions of the list.
-    pub signal_ttl_ms: Millis,
+    pub status_ttl_ms: Millis,
     /// Interval between single requests to a decode server that is too slow for the class, which detect its
     /// recovery.
     pub slow_probe_interval_ms: Millis,
@@ -131,7 +131,7 @@
             backoff_ms: Millis(20),
             attempts_max: 4,
             unresponsive_skip_ms: Millis(500),
-            signal_ttl_ms: Millis(30_000),
+            status_ttl_ms: Millis(30_000),
             slow_probe_interval_ms: Millis(5_000),
         }
     }
--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -34,7 +34,7 @@
 use crate::metrics_reporter::MetricsReporter;
 use crate::operators::{OperatorListener, OperatorSources};
 use crate::peer::{LinkSettings, NngLink};
-use crate::server_signals;
+use crate::server_status;
 use crate::service_registry::{INBOX_CAPACITY, ServiceName, ServiceRegistry};
 use crate::settings::Settings;
 use crate::spread::{ConfigFeed, SpreadHandle, SpreadParts, SpreadService};
@@ -78,7 +78,7 @@
     pub link: Arc<NngLink>,
     /// Membership.
     pub members: MembershipHandle,
-    /// Server signals and load summaries.
+    /// Server statuses and load summaries.
     pub spread: SpreadHandle,
     /// Configuration in force.
     pub config: ConfigHandle,
@@ -174,7 +174,7 @@
         let (ready, is_ready) = watch::channel(false);
         runtime.spawn(WatcherService::run(parts, inbox, services.members.changes.clone(), ready));
         let view = Arc::clone(&services.spread.view);
-        runtime.spawn(server_signals::follow(services.registry.clone(), view, directory, hubs));
+        runtime.spawn(server_status::follow(services.registry.clone(), view, directory, hubs));
         let stopped = stop.clone();
         let handle = runtime.handle().clone();
         let thread = std::thread::Builder::new()
--- a/crates/router/src/dispatch/plain_hub.rs
+++ b/crates/router/src/dispatch/plain_hub.rs
@@ -6,7 +6,7 @@
 use hibiscusvale_core::ids::{BackendServerId, HostId, RequestId};
 use hibiscusvale_core::sched::{
     LimitReached, PlainAction, PlainArrival, PlainCounters, PlainEvent, PlainInstance, PlainScheduler,
-    PlainSettings, StateSignal,
+    PlainSettings, StatusUpdate,
 };
 use hibiscusvale_core::units::{Credit, Micros};
 use parking_lot::Mutex;
@@ -123,9 +123,9 @@
         }
     }
 
-    /// Passes a state signal of a server to the schedulers.
-    pub fn sign(&self, server: &BackendServerId, signal: StateSignal) {
-        self.feed_all(&PlainEvent::StateSignal { server: server.clone(), signal });
+    /// Passes a status update of a server to the schedulers.
+    pub fn update_status(&self, server: &BackendServerId, update: StatusUpdate) {
+        self.feed_all(&PlainEvent::StatusUpdate { server: server.clone(), update });
     }
 
     /// Passes a load report that an instance has just sent to the schedulers.
--- a/crates/router/src/leases.rs
+++ b/crates/router/src/leases.rs
@@ -201,7 +201,7 @@
             self.execute(order);
         }
         for server in &self.draining {
-            self.publish_signal(server, ServerStatus::Leaving);
+            self.publish_status(server, ServerStatus::Leaving);
         }
         let done = self.orders.send_due(&self.settings, &self.lease, &listing, &self.parts.engines).await;
         for server in done {
@@ -222,12 +222,12 @@
     fn end_drain(&mut self, server: &BackendServerId) {
         if let Some(index) = self.draining.iter().position(|draining| draining == server) {
             self.draining.swap_remove(index);
-            self.publish_signal(server, ServerStatus::Accepting);
+            self.publish_status(server, ServerStatus::Accepting);
         }
     }
 
-    fn publish_signal(&self, server: &BackendServerId, status: ServerStatus) {
-        // Repeated on each tick while the drain lasts. If the final signal is lost, the leaving mark expires.
+    fn publish_status(&self, server: &BackendServerId, status: ServerStatus) {
+        // Repeated on each tick while the drain lasts. If the final status is lost, the leaving mark expires.
         let _ = self.parts.spread.try_send(SpreadEvent::Observed { server: server.clone(), status });
     }
 
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -26,7 +26,7 @@
 pub mod operators;
 pub mod peer;
 pub mod relay;
-pub mod server_signals;
+pub mod server_status;
 pub mod servers;
 pub mod service_registry;
 pub mod settings;
--- a/crates/router/src/peer/mod.rs
+++ b/crates/router/src/peer/mod.rs
@@ -32,7 +32,7 @@
     Membership(MembershipMessage),
     /// Slots of backend servers.
     Slots(SlotMessage),
-    /// Configuration, server signals and load summaries.
+    /// Configuration, server statuses and load summaries.
     Spread(SpreadMessage),
     /// The sender now watches these servers, and issues no grants until it knows what other daemons hold there.
     Watching(Vec<BackendServerId>),
--- a/crates/router/src/relay/plain.rs
+++ b/crates/router/src/relay/plain.rs
@@ -6,7 +6,7 @@
 
 use hibiscusvale_core::ids::{BackendServerId, PartnerId};
 use hibiscusvale_core::outcome::Repeatability;
-use hibiscusvale_core::sched::{FailureCause, PlainAction, PlainArrival, PlainEvent, StateSignal};
+use hibiscusvale_core::sched::{FailureCause, PlainAction, PlainArrival, PlainEvent, StatusUpdate};
 use hibiscusvale_core::units::Millis;
 use http::Response;
 
@@ -143,7 +143,7 @@
         Err(cause) => {
             crashes::check_for_crash(incoming, &attempt, cause).await;
             if cause == FailureCause::Leaving {
-                state.plain_hub.sign(server, StateSignal::Leaving);
+                state.plain_hub.update_status(server, StatusUpdate::Leaving);
             }
             return Err(cause);
         }
--- a/crates/router/src/server_signals.rs
+++ b/crates/router/src/server_status.rs
@@ -1,11 +1,11 @@
-//! Applies server signals spread among daemons: a server is leaving, or accepts work again.
+//! Applies server statuses spread among daemons: a server is leaving, or accepts work again.
 
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
 use hibiscusvale_core::ids::BackendServerId;
-use hibiscusvale_core::sched::{Event, StateSignal};
+use hibiscusvale_core::sched::{Event, StatusUpdate};
 use hibiscusvale_core::spread::{ServerStatus, SpreadView};
 
 use crate::clock;
@@ -14,12 +14,12 @@
 use crate::service_registry::{ServiceName, ServiceRegistry};
 use crate::watcher::WatcherCommand;
 
-/// Interval at which spread signals are checked. A leaving server stops receiving new work from all daemons within
+/// Interval at which spread statuses are checked. A leaving server stops receiving new work from all daemons within
 /// the spreading time plus this interval.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Applies the signals observed by any daemon, including this one: a leaving server gets no new work from this
-/// daemon until the signal expires or the server is seen accepting work again.
+/// Applies the statuses observed by any daemon, including this one: a leaving server gets no new work from this
+/// daemon until the update expires or the server is seen accepting work again.
 pub async fn follow(
     registry: ServiceRegistry,
     view: Arc<ArcSwap<SpreadView>>,
@@ -34,41 +34,42 @@
         if Arc::ptr_eq(&seen, &now) {
             continue;
         }
-        let changed = now.statuses.iter().filter(|(server, sign)| seen.statuses.get(*server) != Some(*sign));
-        for (server, sign) in changed {
-            apply_signal(&registry, &directory, &hubs, server, *sign);
+        let changed =
+            now.statuses.iter().filter(|(server, status)| seen.statuses.get(*server) != Some(*status));
+        for (server, status) in changed {
+            apply_status(&registry, &directory, &hubs, server, *status);
         }
         for server in seen.statuses.keys().filter(|server| !now.statuses.contains_key(*server)) {
-            apply_signal(&registry, &directory, &hubs, server, ServerStatus::Accepting);
+            apply_status(&registry, &directory, &hubs, server, ServerStatus::Accepting);
         }
         seen = now;
     }
 }
 
-fn apply_signal(
+fn apply_status(
     registry: &ServiceRegistry,
     directory: &Directory,
     hubs: &OnceLock<Hubs>,
     server: &BackendServerId,
-    sign: ServerStatus,
+    status: ServerStatus,
 ) {
-    let signal = match sign {
+    let update = match status {
         ServerStatus::Leaving => {
             directory.mark_leaving(clock::now(), server);
-            StateSignal::Leaving
+            StatusUpdate::Leaving
         }
         ServerStatus::Accepting => {
             directory.clear_leaving(server);
-            StateSignal::Live
+            StatusUpdate::Live
         }
         // Temporary lack of capacity is tracked by the slot ledger.
         ServerStatus::Refusing => return,
     };
     if let Ok(inbox) = registry.find(ServiceName::Watcher) {
-        let _ = inbox.try_send(WatcherCommand::ServerSignal(server.clone()));
+        let _ = inbox.try_send(WatcherCommand::ServerStatus(server.clone()));
     }
     if let Some(hubs) = hubs.get() {
-        hubs.language.feed(Event::StateSignal { server: server.clone(), signal });
-        hubs.plain.sign(server, signal);
+        hubs.language.feed(Event::StatusUpdate { server: server.clone(), update });
+        hubs.plain.update_status(server, update);
     }
 }
--- a/crates/router/src/service_registry.rs
+++ b/crates/router/src/service_registry.rs
@@ -27,7 +27,7 @@
     Leases,
     /// Live daemons.
     Membership,
-    /// Spreading of configuration, server signals and load.
+    /// Spreading of configuration, server statuses and load.
     Spread,
     /// Slot ledgers of the backend servers watched by this daemon.
     Watcher,
--- a/crates/router/src/spread.rs
+++ b/crates/router/src/spread.rs
@@ -35,7 +35,7 @@
 /// State published by the spreading service.
 #[derive(Clone, Debug)]
 pub struct SpreadHandle {
-    /// Server signals and load summaries.
+    /// Server statuses and load summaries.
     pub view: Arc<ArcSwap<SpreadView>>,
     /// Counters for metrics.
     pub counts: Arc<ArcSwap<SpreadCounts>>,
--- a/crates/router/src/watcher.rs
+++ b/crates/router/src/watcher.rs
@@ -65,7 +65,7 @@
         message: SlotMessage,
     },
     /// A daemon observed that this server is leaving, or accepts work again.
-    ServerSignal(BackendServerId),
+    ServerStatus(BackendServerId),
 }
 
 /// Dependencies of the watcher service.
@@ -184,11 +184,11 @@
             WatcherCommand::Slot { from, incarnation, message } => {
                 self.ledgers.handle(now_us, &from, incarnation, message, &mut self.actions);
             }
-            WatcherCommand::ServerSignal(server) => self.apply_server_signal(now_us, &server),
+            WatcherCommand::ServerStatus(server) => self.apply_server_status(now_us, &server),
         }
     }
 
-    fn apply_server_signal(&mut self, now_us: MonoTime, server: &BackendServerId) {
+    fn apply_server_status(&mut self, now_us: MonoTime, server: &BackendServerId) {
         let listing = self.parts.directory.listing();
         let Some(listed) = listing.servers.get(server) else {
             return;
