--- a/crates/core/src/relay/engines/retry_payment.rs
+++ b/crates/core/src/relay/engines/retry_payment.rs
@@ -44,8 +44,8 @@
                 }
             }
         }
-        if let Some(ask) = self.budget.request_loan(now_us, unpaid) {
-            actions.push(EngineAction::Borrow(ask));
+        if let Some(loan) = self.budget.request_loan(now_us, unpaid) {
+            actions.push(EngineAction::Borrow(loan));
         }
     }
 }
--- a/crates/core/src/sched/counters.rs
+++ b/crates/core/src/sched/counters.rs
@@ -70,7 +70,7 @@
     /// Streams resumed at the same server.
     pub resumed: u64,
     /// Reservation requests that the watcher did not answer in time.
-    pub ask_timeouts: u64,
+    pub grant_request_timeouts: u64,
     /// Transfers started without confirmation by an unresponsive watcher.
     pub unconfirmed_transfers: u64,
     /// Prefill turns released because no decode slot was available.
--- a/crates/core/src/sched/directory.rs
+++ b/crates/core/src/sched/directory.rs
@@ -277,7 +277,7 @@
         entry.asks_since_report = 0;
     }
 
-    pub(super) fn record_ask(&mut self, index: ServerIndex, work_us: Micros, copies: u8) {
+    pub(super) fn record_grant_request(&mut self, index: ServerIndex, work_us: Micros, copies: u8) {
         if let Some(entry) = self.servers.get_mut(index as usize) {
             entry.asked_work_us += work_us.0 / u64::from(copies.max(1));
             entry.asks_since_report += 1;
--- a/crates/core/src/sched/failing.rs
+++ b/crates/core/src/sched/failing.rs
@@ -126,7 +126,7 @@
         self.requests.insert(request_id, request);
         self.note_leaving(now_us, request_id, cause);
         if result_kept {
-            self.ask_slot(now_us, request_id, actions);
+            self.request_slot(now_us, request_id, actions);
             return;
         }
         let restart_cause =
@@ -194,7 +194,7 @@
         let Some(mut request) = self.requests.remove(&request_id) else {
             return;
         };
-        self.withdraw_asks(&mut request, actions);
+        self.withdraw_grant_requests(&mut request, actions);
         self.cancel_holds(&request, actions);
         let is_prefill_failure = cause == WasteCause::PrefillFailed;
         let (turn_outcome, slot_outcome) = if is_prefill_failure {
--- a/crates/core/src/sched/placing.rs
+++ b/crates/core/src/sched/placing.rs
@@ -1,13 +1,13 @@
 //! Selection of prefill servers for a request, and handling of the results.
 
 use crate::ids::RequestId;
-use crate::slots::{Ask, Role, SlotMessage};
+use crate::slots::{GrantRequest, Role, SlotMessage};
 use crate::units::{Bytes, BytesPerSecond, Micros, MonoTime, Tokens};
 
 use super::counters::RefusalReason;
 use super::directory::{Candidates, Draw, ServerIndex};
 use super::events::Action;
-use super::request::{OpenAsk, Request, Stage};
+use super::request::{OpenGrantRequest, Request, Stage};
 use super::scheduler::Scheduler;
 
 /// Candidate server with its score; lower is better.
@@ -30,23 +30,28 @@
     /// loaded server all pick the same one, and a request can be stuck behind a slow server. Two servers are
     /// therefore asked at once and the first with capacity gets the request: late binding, as with the probes
     /// of Sparrow; the load in each reply follows the advertised load of the hybrid-scheduling paper, section
-    /// 4.8. No more than two are asked: the second choice brings nearly all of the gain, and each ask costs
-    /// messages.
-    pub(super) fn ask_turn(&mut self, now_us: MonoTime, request_id: RequestId, actions: &mut Vec<Action>) {
+    /// 4.8. No more than two are asked: the second choice brings nearly all of the gain, and each grant request
+    /// costs messages.
+    pub(super) fn request_turn(
+        &mut self,
+        now_us: MonoTime,
+        request_id: RequestId,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(mut request) = self.requests.remove(&request_id) else {
             return;
         };
         request.enter(now_us, Stage::AwaitTurn);
         let best = self.turn_candidates(now_us, &request);
         let best = self.prefer_on_time(now_us, &request, best);
-        let copies = ask_count(&best);
+        let copies = grant_request_count(&best);
         for scored in best.into_iter().flatten().take(usize::from(copies)) {
-            self.send_turn_ask(now_us, &mut request, scored, copies, actions);
+            self.send_turn_request(now_us, &mut request, scored, copies, actions);
         }
-        let asked = request.has_asks();
+        let asked = request.has_grant_requests();
         self.requests.insert(request_id, request);
         if asked {
-            self.set_timer(request_id, now_us + self.settings.ask_timeout_us);
+            self.set_timer(request_id, now_us + self.settings.grant_request_timeout_us);
             return;
         }
         self.turn_unavailable(now_us, request_id, actions);
@@ -119,7 +124,7 @@
         Scored { server, score_us: wait_us + work_us.0, uncached_tokens }
     }
 
-    fn send_turn_ask(
+    fn send_turn_request(
         &mut self,
         now_us: MonoTime,
         request: &mut Request,
@@ -127,27 +132,32 @@
         copies: u8,
         actions: &mut Vec<Action>,
     ) {
-        let open = OpenAsk {
+        let open = OpenGrantRequest {
             server: scored.server,
-            ask: self.new_ask(),
+            grant_id: self.new_grant_id(),
             sent_us: now_us,
             queued: false,
             copies,
             speculative: false,
             work_tokens: scored.uncached_tokens,
         };
-        let message = self.turn_ask(now_us, request, &open);
+        let message = self.turn_request(now_us, request, &open);
         let work_us = self.directory.work_us(open.server, open.work_tokens, self.settings.prefill_token_us);
-        self.directory.record_ask(open.server, work_us, copies);
-        add_ask(request, open);
-        actions.push(Action::Send(SlotMessage::Ask(message)));
+        self.directory.record_grant_request(open.server, work_us, copies);
+        add_grant_request(request, open);
+        actions.push(Action::Send(SlotMessage::Request(message)));
     }
 
-    pub(super) fn turn_ask(&self, now_us: MonoTime, request: &Request, open: &OpenAsk) -> Ask {
+    pub(super) fn turn_request(
+        &self,
+        now_us: MonoTime,
+        request: &Request,
+        open: &OpenGrantRequest,
+    ) -> GrantRequest {
         let work_us = self.directory.work_us(open.server, open.work_tokens, self.settings.prefill_token_us);
-        Ask {
+        GrantRequest {
             request_id: request.arrival.request_id,
-            ask: open.ask,
+            grant_id: open.grant_id,
             server: self.directory.name(open.server).clone(),
             partner: request.arrival.partner.clone(),
             work_tokens: open.work_tokens,
@@ -214,12 +224,12 @@
         };
         let denied = request.retry_after_ms;
         request.rounds += u8::from(denied.is_some());
-        let again = request.rounds < self.settings.ask_rounds;
+        let again = request.rounds < self.settings.grant_request_rounds;
         let has_run = request.has_run();
         let is_on_time = now_us < request.deadline_us;
         let model = request.arrival.model.clone();
         if again && self.has_untried(now_us, request_id) {
-            self.ask_turn(now_us, request_id, actions);
+            self.request_turn(now_us, request_id, actions);
             return;
         }
         if has_run {
@@ -256,7 +266,7 @@
 }
 
 /// Asks two servers, unless the first has so much of the prompt cached that the second would be a loss.
-fn ask_count(best: &[Option<Scored>; 2]) -> u8 {
+fn grant_request_count(best: &[Option<Scored>; 2]) -> u8 {
     match best {
         [Some(first), Some(second)] => {
             let has_more_cached = first.uncached_tokens < second.uncached_tokens;
@@ -266,8 +276,8 @@
     }
 }
 
-pub(super) fn add_ask(request: &mut Request, open: OpenAsk) {
-    if let Some(vacancy) = request.asks.iter_mut().find(|vacancy| vacancy.is_none()) {
+pub(super) fn add_grant_request(request: &mut Request, open: OpenGrantRequest) {
+    if let Some(vacancy) = request.grant_requests.iter_mut().find(|vacancy| vacancy.is_none()) {
         *vacancy = Some(open);
     }
 }
--- a/crates/core/src/sched/plain.rs
+++ b/crates/core/src/sched/plain.rs
@@ -540,8 +540,8 @@
         };
         let affordable = self.unfunded.iter().take_while(|_| allowance.try_withdraw(now_us)).count();
         let funded: Vec<UnfundedRetry> = self.unfunded.drain(..affordable).collect();
-        if let Some(ask) = allowance.request_loan(now_us, self.unfunded.len() as u64) {
-            actions.push(PlainAction::Borrow(ask));
+        if let Some(loan) = allowance.request_loan(now_us, self.unfunded.len() as u64) {
+            actions.push(PlainAction::Borrow(loan));
         }
         let may_borrow = allowance.may_borrow();
         let is_over = |unfunded: &UnfundedRetry| now_us >= unfunded.until_us || !may_borrow;
@@ -644,8 +644,9 @@
                 self.instances.iter().filter_map(available_at).min()
             })
             .flatten();
-        let ask_us = (!self.unfunded.is_empty()).then(|| now_us + LENDER_TIMEOUT_MS);
-        let Some(at_us) = [retry_us, expiry_us, available_us, ask_us].into_iter().flatten().min() else {
+        let loan_reply_us = (!self.unfunded.is_empty()).then(|| now_us + LENDER_TIMEOUT_MS);
+        let Some(at_us) = [retry_us, expiry_us, available_us, loan_reply_us].into_iter().flatten().min()
+        else {
             return;
         };
         if self.wake_us.is_none_or(|known_us| known_us <= now_us || at_us < known_us) {
--- a/crates/core/src/sched/replies.rs
+++ b/crates/core/src/sched/replies.rs
@@ -1,7 +1,7 @@
 //! Handling of watcher replies, and of their absence.
 
 use crate::ids::RequestId;
-use crate::slots::{AskId, DenyReason, GrantOutcome, GrantPhase, SlotMessage};
+use crate::slots::{DenyReason, GrantId, GrantOutcome, GrantPhase, SlotMessage};
 use crate::units::{BytesPerSecond, Micros, Millis, MonoTime};
 
 use super::directory::ServerIndex;
@@ -22,15 +22,15 @@
             return;
         };
         match *message {
-            SlotMessage::Queued { request_id, ask, load, .. } => {
+            SlotMessage::Queued { request_id, grant_id, load, .. } => {
                 self.directory.update_load(now_us, index, load, Micros::ZERO);
-                self.queued(now_us, request_id, ask);
+                self.queued(now_us, request_id, grant_id);
             }
-            SlotMessage::Grant { request_id, ask, load, .. } => {
+            SlotMessage::Grant { request_id, grant_id, load, .. } => {
                 self.directory.update_load(now_us, index, load, Micros::ZERO);
                 let hold = Hold {
                     server: index,
-                    ask,
+                    grant_id,
                     rate_bytes_per_s: BytesPerSecond::ZERO,
                     phase: GrantPhase::Reserved,
                     guaranteed: true,
@@ -38,18 +38,18 @@
                 };
                 self.granted(now_us, request_id, hold, actions);
             }
-            SlotMessage::Confirm { request_id, ask, rate_bytes_per_s, .. } => {
-                self.confirmed(now_us, request_id, ask, rate_bytes_per_s, actions);
+            SlotMessage::Confirm { request_id, grant_id, rate_bytes_per_s, .. } => {
+                self.confirmed(now_us, request_id, grant_id, rate_bytes_per_s, actions);
             }
-            SlotMessage::Deny { request_id, ask, load, reason, retry_after_ms, .. } => {
+            SlotMessage::Deny { request_id, grant_id, load, reason, retry_after_ms, .. } => {
                 if reason == DenyReason::NotWatching {
-                    self.directory.mark_unresponsive(index, now_us + self.settings.ask_timeout_us);
+                    self.directory.mark_unresponsive(index, now_us + self.settings.grant_request_timeout_us);
                 } else {
                     self.directory.update_load(now_us, index, load, Micros::ZERO);
                 }
-                self.denied(now_us, request_id, ask, reason, retry_after_ms, actions);
+                self.denied(now_us, request_id, grant_id, reason, retry_after_ms, actions);
             }
-            SlotMessage::Ask(_)
+            SlotMessage::Request(_)
             | SlotMessage::Withdraw { .. }
             | SlotMessage::Started { .. }
             | SlotMessage::Ready { .. }
@@ -59,17 +59,17 @@
         }
     }
 
-    /// Records that the watcher queued the ask or the ready message.
-    pub(super) fn queued(&mut self, now_us: MonoTime, request_id: RequestId, ask: AskId) {
+    /// Records that the watcher queued the grant request or the ready message.
+    pub(super) fn queued(&mut self, now_us: MonoTime, request_id: RequestId, grant_id: GrantId) {
         let Some(request) = self.requests.get_mut(&request_id) else {
             return;
         };
         for hold in [&mut request.turn, &mut request.slot].into_iter().flatten() {
-            if hold.ask == ask {
+            if hold.grant_id == grant_id {
                 hold.last_heard_us = now_us;
             }
         }
-        if let Some(open) = request.open_ask_mut(ask) {
+        if let Some(open) = request.open_grant_request_mut(grant_id) {
             open.queued = true;
         }
     }
@@ -81,11 +81,12 @@
         hold: Hold,
         actions: &mut Vec<Action>,
     ) {
-        let matching_ask = self.requests.get_mut(&request_id).and_then(|request| request.take_ask(hold.ask));
-        if matching_ask.is_none() {
+        let matching_request =
+            self.requests.get_mut(&request_id).and_then(|request| request.take_grant_request(hold.grant_id));
+        if matching_request.is_none() {
             // A duplicate of a grant already held is ignored; any other unexpected grant is released.
             let repeated = self.requests.get(&request_id).is_some_and(|request| {
-                [request.turn, request.slot].into_iter().flatten().any(|held| held.ask == hold.ask)
+                [request.turn, request.slot].into_iter().flatten().any(|held| held.grant_id == hold.grant_id)
             });
             if !repeated {
                 self.release_hold(request_id, Some(hold), GrantOutcome::Unused, actions);
@@ -95,14 +96,14 @@
         let Some(mut request) = self.requests.remove(&request_id) else {
             return;
         };
-        self.withdraw_asks(&mut request, actions);
+        self.withdraw_grant_requests(&mut request, actions);
         let stage = request.stage;
-        let hold = Hold { guaranteed: matching_ask.is_some_and(|open| !open.speculative), ..hold };
+        let hold = Hold { guaranteed: matching_request.is_some_and(|open| !open.speculative), ..hold };
         match stage {
             Stage::AwaitTurn => {
                 request.turn = Some(hold);
                 request.uncached_tokens =
-                    matching_ask.map_or(request.uncached_tokens, |open| open.work_tokens);
+                    matching_request.map_or(request.uncached_tokens, |open| open.work_tokens);
             }
             _ => request.slot = Some(hold),
         }
@@ -110,7 +111,7 @@
         match (stage, self.settings.start) {
             (Stage::AwaitTurn, PrefillStart::AfterReservation) => {
                 self.enter(now_us, request_id, Stage::AwaitSlot);
-                self.ask_slot(now_us, request_id, actions);
+                self.request_slot(now_us, request_id, actions);
             }
             (Stage::AwaitTurn, PrefillStart::AtOnce) | (Stage::AwaitSlot, _) => {
                 self.start_prefill(now_us, request_id, actions);
@@ -129,7 +130,7 @@
         &mut self,
         now_us: MonoTime,
         request_id: RequestId,
-        ask: AskId,
+        grant_id: GrantId,
         rate_bytes_per_s: BytesPerSecond,
         actions: &mut Vec<Action>,
     ) {
@@ -137,7 +138,7 @@
             return;
         };
         for hold in [&mut request.turn, &mut request.slot].into_iter().flatten() {
-            if hold.ask == ask && hold.phase == GrantPhase::Ready {
+            if hold.grant_id == grant_id && hold.phase == GrantPhase::Ready {
                 hold.phase = GrantPhase::Transferring;
                 hold.rate_bytes_per_s = rate_bytes_per_s;
             }
@@ -152,7 +153,7 @@
         &mut self,
         now_us: MonoTime,
         request_id: RequestId,
-        ask: AskId,
+        grant_id: GrantId,
         reason: DenyReason,
         retry_after_ms: Millis,
         actions: &mut Vec<Action>,
@@ -160,7 +161,7 @@
         let Some(request) = self.requests.get_mut(&request_id) else {
             return;
         };
-        let Some(open) = request.take_ask(ask) else {
+        let Some(open) = request.take_grant_request(grant_id) else {
             return;
         };
         let for_turn = request.stage == Stage::AwaitTurn;
@@ -171,7 +172,7 @@
             let known_ms = request.retry_after_ms.unwrap_or(retry_after_ms);
             request.retry_after_ms = Some(known_ms.min(retry_after_ms));
         }
-        if request.has_asks() {
+        if request.has_grant_requests() {
             return;
         }
         if for_turn {
@@ -181,14 +182,19 @@
         }
     }
 
-    /// Withdraws asks that were not answered in time: the message was lost or the watcher failed.
-    pub(super) fn ask_timer(&mut self, now_us: MonoTime, request_id: RequestId, actions: &mut Vec<Action>) {
+    /// Withdraws grant requests that were not answered in time: the message was lost or the watcher failed.
+    pub(super) fn grant_request_timer(
+        &mut self,
+        now_us: MonoTime,
+        request_id: RequestId,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(request) = self.requests.get_mut(&request_id) else {
             return;
         };
-        let timeout_us = self.settings.ask_timeout_us;
+        let timeout_us = self.settings.grant_request_timeout_us;
         let mut lost = [None; super::request::COPIES_MAX];
-        for (open, lost) in request.asks.iter_mut().zip(&mut lost) {
+        for (open, lost) in request.grant_requests.iter_mut().zip(&mut lost) {
             if open.is_some_and(|open| !open.queued && now_us >= open.sent_us + timeout_us) {
                 *lost = open.take();
             }
@@ -196,12 +202,12 @@
         let for_turn = request.stage == Stage::AwaitTurn;
         for open in lost.iter().flatten() {
             request.record_tried(open.server);
-            self.counters.ask_timeouts += 1;
+            self.counters.grant_request_timeouts += 1;
             self.directory.mark_unresponsive(open.server, now_us + self.settings.unresponsive_skip_ms);
             let server = self.directory.name(open.server).clone();
-            actions.push(Action::Send(SlotMessage::Withdraw { server, request_id, ask: open.ask }));
+            actions.push(Action::Send(SlotMessage::Withdraw { server, request_id, grant_id: open.grant_id }));
         }
-        let waits = self.requests.get(&request_id).is_some_and(Request::has_asks);
+        let waits = self.requests.get(&request_id).is_some_and(Request::has_grant_requests);
         match (for_turn, waits) {
             (true, true) => {}
             (true, false) => self.turn_unavailable(now_us, request_id, actions),
@@ -231,7 +237,7 @@
             if waits {
                 self.set_timer(request_id, until_us);
             } else {
-                self.ask_slot(now_us, request_id, actions);
+                self.request_slot(now_us, request_id, actions);
             }
             return;
         }
@@ -239,16 +245,16 @@
             return;
         };
         self.counters.turns_returned += 1;
-        self.withdraw_asks(&mut request, actions);
+        self.withdraw_grant_requests(&mut request, actions);
         self.release_hold(request_id, request.turn.take(), GrantOutcome::Unused, actions);
         request.rounds = 0;
         request.tried = Default::default();
         self.requests.insert(request_id, request);
-        self.ask_turn(now_us, request_id, actions);
+        self.request_turn(now_us, request_id, actions);
     }
 
-    /// Repeats the asks that a watcher has queued: it may have lost them, or be a new one.
-    pub(super) fn repeat_asks(
+    /// Repeats the grant requests that a watcher has queued: it may have lost them, or be a new one.
+    pub(super) fn repeat_grant_requests(
         &mut self,
         now_us: MonoTime,
         request_id: RequestId,
@@ -259,14 +265,18 @@
             return;
         };
         let for_turn = request.stage == Stage::AwaitTurn;
-        for open in request.asks.iter().flatten().filter(|open| only.is_none_or(|index| index == open.server))
+        for open in request
+            .grant_requests
+            .iter()
+            .flatten()
+            .filter(|open| only.is_none_or(|index| index == open.server))
         {
             let message = if for_turn {
-                self.turn_ask(now_us, request, open)
+                self.turn_request(now_us, request, open)
             } else {
-                self.slot_ask(now_us, request, open)
+                self.slot_request(now_us, request, open)
             };
-            actions.push(Action::Send(SlotMessage::Ask(message)));
+            actions.push(Action::Send(SlotMessage::Request(message)));
         }
     }
 }
--- a/crates/core/src/sched/request.rs
+++ b/crates/core/src/sched/request.rs
@@ -1,6 +1,6 @@
 //! State of one open request.
 
-use crate::slots::{AskId, GrantPhase};
+use crate::slots::{GrantId, GrantPhase};
 use crate::units::{Bytes, BytesPerSecond, Millis, MonoTime, Tokens};
 
 use super::counters::WasteCause;
@@ -26,15 +26,15 @@
     Decoding,
 }
 
-/// Ask that was sent and not yet granted or denied.
+/// Grant request that was sent and not yet granted or denied.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct OpenAsk {
+pub(super) struct OpenGrantRequest {
     pub(super) server: ServerIndex,
-    pub(super) ask: AskId,
+    pub(super) grant_id: GrantId,
     pub(super) sent_us: MonoTime,
     pub(super) queued: bool,
     pub(super) copies: u8,
-    /// Whether the ask accepts a slot that is only expected to become free.
+    /// Whether the grant request accepts a slot that is only expected to become free.
     pub(super) speculative: bool,
     /// Prompt tokens to prefill at this server; zero for a slot.
     pub(super) work_tokens: Tokens,
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Hold {
     pub(super) server: ServerIndex,
-    pub(super) ask: AskId,
+    pub(super) grant_id: GrantId,
     pub(super) rate_bytes_per_s: BytesPerSecond,
     pub(super) phase: GrantPhase,
     /// Whether the slot was granted as free rather than as expected to become free.
@@ -69,7 +69,7 @@
     pub(super) attempt: Attempt,
     pub(super) attempt_since_us: MonoTime,
     pub(super) evict_at_us: MonoTime,
-    pub(super) asks: [Option<OpenAsk>; COPIES_MAX],
+    pub(super) grant_requests: [Option<OpenGrantRequest>; COPIES_MAX],
     pub(super) rounds: u8,
     pub(super) tried: [Option<ServerIndex>; TRIED_MAX],
     pub(super) failed_at: Option<ServerIndex>,
@@ -97,7 +97,7 @@
             attempt: Attempt(0),
             attempt_since_us: now_us,
             evict_at_us: now_us,
-            asks: [None; COPIES_MAX],
+            grant_requests: [None; COPIES_MAX],
             rounds: 0,
             tried: [None; TRIED_MAX],
             failed_at: None,
@@ -132,17 +132,18 @@
         self.arrival.prompt_tokens + self.tokens
     }
 
-    pub(super) fn open_ask_mut(&mut self, ask: AskId) -> Option<&mut OpenAsk> {
-        self.asks.iter_mut().flatten().find(|open| open.ask == ask)
+    pub(super) fn open_grant_request_mut(&mut self, grant_id: GrantId) -> Option<&mut OpenGrantRequest> {
+        self.grant_requests.iter_mut().flatten().find(|open| open.grant_id == grant_id)
     }
 
-    pub(super) fn take_ask(&mut self, ask: AskId) -> Option<OpenAsk> {
-        let entry = self.asks.iter_mut().find(|open| open.is_some_and(|open| open.ask == ask))?;
+    pub(super) fn take_grant_request(&mut self, grant_id: GrantId) -> Option<OpenGrantRequest> {
+        let entry =
+            self.grant_requests.iter_mut().find(|open| open.is_some_and(|open| open.grant_id == grant_id))?;
         entry.take()
     }
 
-    pub(super) fn has_asks(&self) -> bool {
-        self.asks.iter().any(Option::is_some)
+    pub(super) fn has_grant_requests(&self) -> bool {
+        self.grant_requests.iter().any(Option::is_some)
     }
 
     pub(super) fn record_tried(&mut self, server: ServerIndex) {
--- a/crates/core/src/sched/running.rs
+++ b/crates/core/src/sched/running.rs
@@ -104,7 +104,7 @@
         }
         self.announce_ready(now_us, request_id, actions);
         if self.settings.start == PrefillStart::AtOnce {
-            self.ask_slot(now_us, request_id, actions);
+            self.request_slot(now_us, request_id, actions);
         }
     }
 
@@ -131,12 +131,12 @@
             actions.push(Action::Send(SlotMessage::Ready {
                 server: self.directory.name(hold.server).clone(),
                 request_id,
-                ask: hold.ask,
+                grant_id: hold.grant_id,
                 work_us,
                 work_tokens: request.prefilled,
             }));
         }
-        let repeat_us = now_us + self.settings.ask_timeout_us;
+        let repeat_us = now_us + self.settings.grant_request_timeout_us;
         let at_us = repeat_us.min(request.evict_at_us);
         self.set_timer(request_id, at_us);
     }
@@ -157,7 +157,7 @@
             return;
         }
         if request.slot.is_none() {
-            self.ask_timer(now_us, request_id, actions);
+            self.grant_request_timer(now_us, request_id, actions);
             return;
         }
         self.confirm_without_watcher(now_us, request_id);
--- a/crates/core/src/sched/scheduler.rs
+++ b/crates/core/src/sched/scheduler.rs
@@ -7,7 +7,7 @@
 use rand::rngs::StdRng;
 
 use crate::ids::{BackendServerId, ClassName, PartnerId, RequestId};
-use crate::slots::{AskId, GrantOutcome, HeldGrant, SlotMessage};
+use crate::slots::{GrantId, GrantOutcome, HeldGrant, SlotMessage};
 use crate::units::{Bytes, Micros, Millis, MonoTime, Tokens};
 
 use super::affinity::AffinityIndex;
@@ -45,7 +45,7 @@
     pub(super) counters: Counters,
     pub(super) kv_bytes_per_token: f64,
     timers: BinaryHeap<Reverse<(MonoTime, RequestId)>>,
-    next_ask: u64,
+    last_grant_id: u64,
     renew_at_us: MonoTime,
     wake_us: Option<MonoTime>,
 }
@@ -67,7 +67,7 @@
             counters: Counters::default(),
             kv_bytes_per_token: settings.kv_bytes_per_token.0 as f64,
             timers: BinaryHeap::new(),
-            next_ask: 0,
+            last_grant_id: 0,
             renew_at_us: MonoTime(0),
             wake_us: None,
         }
@@ -170,7 +170,7 @@
             self.refuse(request_id, RefusalReason::DaemonFull, Millis::ZERO, actions);
             return;
         }
-        self.ask_turn(now_us, request_id, actions);
+        self.request_turn(now_us, request_id, actions);
     }
 
     fn partner_index(&mut self, id: &PartnerId) -> usize {
@@ -200,9 +200,9 @@
         Bytes(ceil_tokens(self.kv_bytes_per_token * tokens.0 as f64).0)
     }
 
-    pub(super) fn new_ask(&mut self) -> AskId {
-        self.next_ask += 1;
-        AskId(self.next_ask)
+    pub(super) fn new_grant_id(&mut self) -> GrantId {
+        self.last_grant_id += 1;
+        GrantId(self.last_grant_id)
     }
 
     /// Refuses a request of which nothing ran.
@@ -228,17 +228,17 @@
     ) -> Option<Request> {
         let mut request = self.requests.remove(&request_id)?;
         self.partners[request.partner].open -= 1;
-        self.withdraw_asks(&mut request, actions);
+        self.withdraw_grant_requests(&mut request, actions);
         self.release_hold(request_id, request.turn, outcome, actions);
         self.release_hold(request_id, request.slot, outcome, actions);
         Some(request)
     }
 
-    pub(super) fn withdraw_asks(&self, request: &mut Request, actions: &mut Vec<Action>) {
+    pub(super) fn withdraw_grant_requests(&self, request: &mut Request, actions: &mut Vec<Action>) {
         let request_id = request.arrival.request_id;
-        for open in request.asks.iter_mut().filter_map(Option::take) {
+        for open in request.grant_requests.iter_mut().filter_map(Option::take) {
             let server = self.directory.name(open.server).clone();
-            actions.push(Action::Send(SlotMessage::Withdraw { server, request_id, ask: open.ask }));
+            actions.push(Action::Send(SlotMessage::Withdraw { server, request_id, grant_id: open.grant_id }));
         }
     }
 
@@ -251,7 +251,12 @@
     ) {
         if let Some(hold) = hold {
             let server = self.directory.name(hold.server).clone();
-            actions.push(Action::Send(SlotMessage::Release { server, request_id, ask: hold.ask, outcome }));
+            actions.push(Action::Send(SlotMessage::Release {
+                server,
+                request_id,
+                grant_id: hold.grant_id,
+                outcome,
+            }));
         }
     }
 
@@ -284,8 +289,8 @@
             return;
         };
         match request.stage {
-            Stage::Backoff => self.ask_turn(now_us, request_id, actions),
-            Stage::AwaitTurn | Stage::AwaitSlot => self.ask_timer(now_us, request_id, actions),
+            Stage::Backoff => self.request_turn(now_us, request_id, actions),
+            Stage::AwaitTurn | Stage::AwaitSlot => self.grant_request_timer(now_us, request_id, actions),
             Stage::AwaitTransfer => self.transfer_timer(now_us, request_id, actions),
             Stage::Prefilling | Stage::Importing => self.step_timeout(now_us, request_id, actions),
             Stage::Decoding => {}
@@ -305,7 +310,7 @@
         }
     }
 
-    /// Sends each watcher the list of its grants still in use, and repeats queued asks.
+    /// Sends each watcher the list of its grants still in use, and repeats queued grant requests.
     ///
     /// A lost release would keep a slot occupied forever and a lost grant would leave a request waiting; the
     /// list repairs both within one period, and tells a new watcher of the grants that its predecessor made.
@@ -317,7 +322,7 @@
         let mut lists: HashMap<ServerIndex, Vec<HeldGrant>> = HashMap::new();
         let mut waiting = Vec::new();
         for request in self.requests.values_mut() {
-            if request.asks.iter().flatten().any(|open| open.queued) {
+            if request.grant_requests.iter().flatten().any(|open| open.queued) {
                 waiting.push(request.arrival.request_id);
             }
             collect_held(now_us, request, &self.partners, &mut lists);
@@ -331,11 +336,12 @@
             actions.push(Action::Send(SlotMessage::Renew { server, held }));
         }
         for request_id in waiting {
-            self.repeat_asks(now_us, request_id, None, actions);
+            self.repeat_grant_requests(now_us, request_id, None, actions);
         }
     }
 
-    /// Registers at a new watcher with the grants in use, even if there are none, and repeats the open asks.
+    /// Registers at a new watcher with the grants in use, even if there are none, and repeats the open grant
+    /// requests.
     fn watcher_changed(&mut self, now_us: MonoTime, server: &BackendServerId, actions: &mut Vec<Action>) {
         let Some(index) = self.directory.index(server) else {
             return;
@@ -343,7 +349,7 @@
         let mut lists: HashMap<ServerIndex, Vec<HeldGrant>> = HashMap::new();
         let mut waiting = Vec::new();
         for request in self.requests.values_mut() {
-            if request.asks.iter().flatten().any(|open| open.server == index) {
+            if request.grant_requests.iter().flatten().any(|open| open.server == index) {
                 waiting.push(request.arrival.request_id);
             }
             collect_held(now_us, request, &self.partners, &mut lists);
@@ -353,7 +359,7 @@
         actions.push(Action::Send(SlotMessage::Renew { server: server.clone(), held }));
         waiting.sort_unstable();
         for request_id in waiting {
-            self.repeat_asks(now_us, request_id, Some(index), actions);
+            self.repeat_grant_requests(now_us, request_id, Some(index), actions);
         }
     }
 }
@@ -368,7 +374,7 @@
     let token_us = observed_token_us(now_us, request);
     let grant = |hold: &Hold, work_tokens: Tokens, token_us: Micros| HeldGrant {
         request_id: request.arrival.request_id,
-        ask: hold.ask,
+        grant_id: hold.grant_id,
         partner: partner.clone(),
         phase: hold.phase,
         rate_bytes_per_s: hold.rate_bytes_per_s,
--- a/crates/core/src/sched/settings.rs
+++ b/crates/core/src/sched/settings.rs
@@ -24,10 +24,10 @@
     pub sample_size: usize,
     /// Timeout of a watcher reply: several round trips inside a region. Longer would use up the slack of
     /// tight classes; shorter would take a busy daemon for a failed one.
-    pub ask_timeout_us: Micros,
+    pub grant_request_timeout_us: Micros,
     /// Maximum number of sampling rounds after denials. A second sample makes up for an unlucky first; more
-    /// would multiply the asks under overload.
-    pub ask_rounds: u8,
+    /// would multiply the grant requests under overload.
+    pub grant_request_rounds: u8,
     /// Wait before asking again when no watcher answered.
     pub no_answer_backoff_ms: Millis,
     /// Longest time for which a turn is held while waiting for a slot. The prefill server may be idle
@@ -103,8 +103,8 @@
             start: PrefillStart::AfterReservation,
             open_max: 8_192,
             sample_size: 4,
-            ask_timeout_us: Micros(25_000),
-            ask_rounds: 2,
+            grant_request_timeout_us: Micros(25_000),
+            grant_request_rounds: 2,
             no_answer_backoff_ms: Millis(100),
             turn_hold_ms: Millis(250),
             speculative_slack_ms: Millis(0),
--- a/crates/core/src/sched/slot.rs
+++ b/crates/core/src/sched/slot.rs
@@ -1,13 +1,13 @@
 //! Selection of decode servers for a slot.
 
 use crate::ids::RequestId;
-use crate::slots::{Ask, Role, SlotMessage};
+use crate::slots::{GrantRequest, Role, SlotMessage};
 use crate::units::{Micros, MonoTime, Tokens};
 
 use super::directory::{Candidates, Draw, ServerEntry, ServerIndex};
 use super::events::Action;
-use super::placing::{MICROS_PER_SECOND, Scored, add_ask, best_two, insert_best};
-use super::request::{Hold, OpenAsk, Request};
+use super::placing::{MICROS_PER_SECOND, Scored, add_grant_request, best_two, insert_best};
+use super::request::{Hold, OpenGrantRequest, Request};
 use super::scheduler::Scheduler;
 
 impl Scheduler {
@@ -16,7 +16,12 @@
     /// Near capacity, a prefill result without a slot is evicted in under a second and its work is lost. One
     /// server is asked while it clearly has free slots; otherwise two are asked and the first free slot is
     /// used.
-    pub(super) fn ask_slot(&mut self, now_us: MonoTime, request_id: RequestId, actions: &mut Vec<Action>) {
+    pub(super) fn request_slot(
+        &mut self,
+        now_us: MonoTime,
+        request_id: RequestId,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(mut request) = self.requests.remove(&request_id) else {
             return;
         };
@@ -25,23 +30,24 @@
         let copies = if has_ample_slots { 1 } else { best.iter().flatten().count() };
         let copies = u8::try_from(copies).unwrap_or(1);
         for scored in best.into_iter().flatten().take(usize::from(copies)) {
-            let open = OpenAsk {
+            let open = OpenGrantRequest {
                 server: scored.server,
-                ask: self.new_ask(),
+                grant_id: self.new_grant_id(),
                 sent_us: now_us,
                 queued: false,
                 copies,
                 speculative: self.may_speculate(now_us, &request),
                 work_tokens: Tokens::ZERO,
             };
-            let message = self.slot_ask(now_us, &request, &open);
-            self.directory.record_ask(scored.server, Micros::ZERO, copies);
-            add_ask(&mut request, open);
-            actions.push(Action::Send(SlotMessage::Ask(message)));
+            let message = self.slot_request(now_us, &request, &open);
+            self.directory.record_grant_request(scored.server, Micros::ZERO, copies);
+            add_grant_request(&mut request, open);
+            actions.push(Action::Send(SlotMessage::Request(message)));
         }
-        let asked = request.has_asks();
+        let asked = request.has_grant_requests();
         self.requests.insert(request_id, request);
-        let delay = if asked { self.settings.ask_timeout_us } else { self.settings.slot_retry_ms.into() };
+        let delay =
+            if asked { self.settings.grant_request_timeout_us } else { self.settings.slot_retry_ms.into() };
         self.set_timer(request_id, now_us + delay);
     }
 
@@ -92,11 +98,16 @@
         }
     }
 
-    pub(super) fn slot_ask(&self, now_us: MonoTime, request: &Request, open: &OpenAsk) -> Ask {
+    pub(super) fn slot_request(
+        &self,
+        now_us: MonoTime,
+        request: &Request,
+        open: &OpenGrantRequest,
+    ) -> GrantRequest {
         let left_us = request.deadline_us.since(now_us);
-        Ask {
+        GrantRequest {
             request_id: request.arrival.request_id,
-            ask: open.ask,
+            grant_id: open.grant_id,
             server: self.directory.name(open.server).clone(),
             partner: request.arrival.partner.clone(),
             work_tokens: self.expected_answer(request),
@@ -127,8 +138,8 @@
     }
 }
 
-/// With more free slots than this, one ask suffices: asks of other daemons at the same moment will not take
-/// them all.
+/// With more free slots than this, one grant request suffices: those of other daemons at the same moment will
+/// not take them all.
 const AMPLE_FREE_SLOTS: u32 = 3;
 
 /// Ranks servers without free slots behind all others.
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -5,10 +5,10 @@
 //! turn before it asks for a slot, and a slot before its prefill starts.
 //!
 //! At peak load both kinds of server are nearly full, and six to nine daemons place requests independently,
-//! each seeing a share of the arrivals. Load reports lag, so daemons that place by them send their work to
-//! the same server at the same moment, and a prefill whose result has no slot to go to is evicted in under a
-//! second and wasted. A single watcher per server counts exactly, and receives the asks of all partners from
-//! all daemons, so fairness needs no messages beyond the asks themselves.
+//! each seeing a share of the arrivals. Load reports lag, so daemons that place by them send their work to the
+//! same server at the same moment, and a prefill whose result has no slot to go to is evicted in under a second
+//! and wasted. A single watcher per server counts exactly, and receives the grant requests of all partners from
+//! all daemons, so fairness needs no messages beyond the grant requests themselves.
 
 mod drain_ratio;
 mod fair_queue;
@@ -24,10 +24,10 @@
 pub use ledger::{HeldReport, Ledger, LedgerAction, LedgerCounters, LedgerSettings};
 pub use watcher::Watcher;
 
-/// Identifies an ask among those of one daemon incarnation, so that a reply to an abandoned ask is recognised
-/// as such.
+/// Identifies a grant request among those of one daemon incarnation, so that a reply to an abandoned grant
+/// request is recognised as such.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
-pub struct AskId(pub u64);
+pub struct GrantId(pub u64);
 
 /// Role of a model engine, as far as its ledger is concerned.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
@@ -40,11 +40,11 @@
 
 /// A daemon's request for capacity at one server.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
-pub struct Ask {
+pub struct GrantRequest {
     /// Request that the capacity is for.
     pub request_id: RequestId,
-    /// Id of the ask.
-    pub ask: AskId,
+    /// Id of the grant request.
+    pub grant_id: GrantId,
     /// Server that the message is about.
     pub server: BackendServerId,
     /// Partner that is charged.
@@ -67,7 +67,7 @@
 /// State of a server as known to its watcher, sent with each reply.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct ServerLoad {
-    /// Expected wait of a new ask.
+    /// Expected wait of a new grant request.
     pub wait_us: Micros,
     /// Free slots; 0 or 1 for turns.
     pub free: u32,
@@ -78,10 +78,10 @@
     pub open: bool,
 }
 
-/// Reason for which an ask was denied.
+/// Reason for which a grant request was denied.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub enum DenyReason {
-    /// The partner's share of the server cannot serve the ask in time.
+    /// The partner's share of the server cannot serve the grant request in time.
     WouldMissTarget,
     /// The partner's queue is full.
     QueueFull,
@@ -128,8 +128,8 @@
 pub struct HeldGrant {
     /// Request that the capacity is for.
     pub request_id: RequestId,
-    /// Ask that was granted.
-    pub ask: AskId,
+    /// Grant request that was granted.
+    pub grant_id: GrantId,
     /// Partner that is charged.
     pub partner: PartnerId,
     /// Progress of the request.
@@ -142,29 +142,29 @@
     pub token_us: Micros,
 }
 
-/// Messages between daemons about slots. Delivery is at most once: a daemon repeats its asks, and grants that
-/// are not renewed expire.
+/// Messages between daemons about slots. Delivery is at most once: a daemon repeats its grant requests, and
+/// grants that are not renewed expire.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub enum SlotMessage {
-    /// To the watcher: asks for capacity for a request.
-    Ask(Ask),
+    /// To the watcher: requests capacity for a request.
+    Request(GrantRequest),
     /// To the watcher: the request no longer waits for this server.
     Withdraw {
         /// Server that the message is about.
         server: BackendServerId,
         /// Request that the message is about.
         request_id: RequestId,
-        /// Id of the ask.
-        ask: AskId,
+        /// Id of the grant request.
+        grant_id: GrantId,
     },
-    /// From the watcher: the ask is queued.
+    /// From the watcher: the grant request is queued.
     Queued {
         /// Server that the message is about.
         server: BackendServerId,
         /// Request that the message is about.
         request_id: RequestId,
-        /// Id of the ask.
-        ask: AskId,
+        /// Id of the grant request.
+        grant_id: GrantId,
         /// Current load of the server.
         load: ServerLoad,
     },
@@ -174,8 +174,8 @@
         server: BackendServerId,
         /// Request that the message is about.
         request_id: RequestId,
-        /// Id of the ask.
-        ask: AskId,
+        /// Id of the grant request.
+        grant_id: GrantId,
         /// Current load of the server.
         load: ServerLoad,
         /// Time after which the grant expires unless it is renewed.
@@ -188,19 +188,19 @@
         server: BackendServerId,
         /// Request that the message is about.
         request_id: RequestId,
-        /// Id of the ask.
-        ask: AskId,
+        /// Id of the grant request.
+        grant_id: GrantId,
         /// Granted share of the server's link.
         rate_bytes_per_s: BytesPerSecond,
     },
-    /// From the watcher: the ask is denied.
+    /// From the watcher: the grant request is denied.
     Deny {
         /// Server that the message is about.
         server: BackendServerId,
         /// Request that the message is about.
         request_id: RequestId,
-        /// Id of the ask.
-        ask: AskId,
+        /// Id of the grant request.
+        grant_id: GrantId,
         /// Current load of the server.
         load: ServerLoad,
         /// Reason of the denial.
@@ -222,8 +222,8 @@
         server: BackendServerId,
         /// Request that the message is about.
         request_id: RequestId,
-        /// Id of the ask.
-        ask: AskId,
+        /// Id of the grant request.
+        grant_id: GrantId,
         /// Duration of the prefill; zero for a decode server.
         work_us: Micros,
         /// Prompt tokens processed.
@@ -242,8 +242,8 @@
         server: BackendServerId,
         /// Request that the message is about.
         request_id: RequestId,
-        /// Id of the ask.
-        ask: AskId,
+        /// Id of the grant request.
+        grant_id: GrantId,
         /// Result of the grant.
         outcome: GrantOutcome,
     },
@@ -262,7 +262,7 @@
     /// The server that the message is about.
     pub fn server(&self) -> &BackendServerId {
         match self {
-            Self::Ask(ask) => &ask.server,
+            Self::Request(grant_request) => &grant_request.server,
             Self::Withdraw { server, .. }
             | Self::Queued { server, .. }
             | Self::Grant { server, .. }
@@ -280,7 +280,7 @@
     pub fn is_for_watcher(&self) -> bool {
         matches!(
             self,
-            Self::Ask(_)
+            Self::Request(_)
                 | Self::Withdraw { .. }
                 | Self::Started { .. }
                 | Self::Ready { .. }
--- a/crates/core/src/slots/drain_ratio.rs
+++ b/crates/core/src/slots/drain_ratio.rs
@@ -5,7 +5,7 @@
 /// Elapsed time per unit of expected work while requests are waiting.
 ///
 /// Under overload, an estimate from nominal speeds is wrong whenever the server is slow, turns wait for slots
-/// elsewhere, or asks leave because another server accepted them. An estimate that is too low accepts
+/// elsewhere, or grant requests leave because another server accepted them. An estimate that is too low accepts
 /// requests that will be late, until all work is late. All three effects show in how fast the queue drains.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DrainRatio {
--- a/crates/core/src/slots/fair_queue.rs
+++ b/crates/core/src/slots/fair_queue.rs
@@ -5,10 +5,11 @@
 use crate::ids::{PartnerId, RequestId};
 use crate::units::{Micros, Millis, MonoTime};
 
-/// Order in which asks are granted.
+/// Order in which grant requests are granted.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum QueueOrder {
-    /// Max-min fair between partners by charged time; by deadline within a partner, with late asks last.
+    /// Max-min fair between partners by charged time; by deadline within a partner, with late grant requests
+    /// last.
     #[default]
     FairDeadline,
     /// First in, first out over all partners. The baseline in comparisons of scheduling policies.
@@ -20,19 +21,19 @@
 pub struct QueueSettings {
     /// Order of grants.
     pub order: QueueOrder,
-    /// Maximum number of waiting asks of one partner. A memory limit: with realistic targets the wait
-    /// estimate denies asks far earlier, so this is reached only with extremely loose targets.
+    /// Maximum number of waiting grant requests of one partner. A memory limit: with realistic targets the wait
+    /// estimate denies grant requests far earlier, so this is reached only with extremely loose targets.
     pub per_partner_max: usize,
-    /// Maximum number of waiting asks of one partner that missed their target. Smaller, because they no
-    /// longer count towards goodput.
+    /// Maximum number of waiting grant requests of one partner that missed their target. Smaller, because they
+    /// no longer count towards goodput.
     pub late_max: usize,
-    /// Maximum expected wait at which an ask that missed its target is still accepted; callers have left by
-    /// then.
+    /// Maximum expected wait at which a grant request that missed its target is still accepted; callers have
+    /// left by then.
     pub late_wait_max_ms: Millis,
-    /// Age from which a late ask takes precedence over those in time, so that it does not starve.
+    /// Age from which a late grant request takes precedence over those in time, so that it does not starve.
     pub ageing_ms: Millis,
-    /// One in this many grants to a partner may go to an aged late ask: late requests are still answered,
-    /// while the other grants earn goodput.
+    /// One in this many grants to a partner may go to an aged late grant request: late requests are still
+    /// answered, while the other grants earn goodput.
     pub ageing_every: u32,
 }
 
@@ -123,23 +124,23 @@
     index: usize,
 }
 
-/// Expected effect of accepting an ask.
+/// Expected effect of accepting a grant request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Forecast {
-    /// Expected wait of the ask.
+    /// Expected wait of the grant request.
     pub wait_us: Micros,
-    /// Whether an ask accepted earlier would miss its target because of this one.
+    /// Whether a grant request accepted earlier would miss its target because of this one.
     pub delays_earlier: bool,
 }
 
 /// Requests waiting for one server or service.
 ///
 /// Guards against one partner that increases its load tenfold, assigns all requests to its tightest class, or
-/// publishes a target of one millisecond: under a single deadline order for all, that partner would always
-/// come first, and another partner's requests would miss their targets although it uses less than its share.
+/// publishes a target of one millisecond: under a single deadline order for all, that partner would always come
+/// first, and another partner's requests would miss their targets although it uses less than its share.
 /// Therefore the partner charged least comes first, and deadlines only order the work within a partner. A
-/// partner without waiting asks accumulates no credit, because its virtual time is advanced when it returns:
-/// otherwise an idle hour would allow a burst that excludes the others.
+/// partner without waiting grant requests accumulates no credit, because its virtual time is advanced when it
+/// returns: otherwise an idle hour would allow a burst that excludes the others.
 #[derive(Debug)]
 pub struct FairQueue<Item> {
     settings: QueueSettings,
@@ -167,17 +168,17 @@
         }
     }
 
-    /// Number of waiting asks.
+    /// Number of waiting grant requests.
     pub fn len(&self) -> usize {
         self.positions.len()
     }
 
-    /// Whether no ask is waiting.
+    /// Whether no grant request is waiting.
     pub fn is_empty(&self) -> bool {
         self.positions.is_empty()
     }
 
-    /// Total expected service time of the waiting asks.
+    /// Total expected service time of the waiting grant requests.
     pub fn work_us(&self) -> Micros {
         Micros(self.work_us)
     }
@@ -190,7 +191,7 @@
         entries.get(&position.key)
     }
 
-    /// Whether the partner's limit of waiting asks, or of late ones if `late`, is reached.
+    /// Whether the partner's limit of waiting grant requests, or of late ones if `late`, is reached.
     pub fn is_full(&self, partner: &PartnerId, late: bool) -> bool {
         let Some(queue) = self.partner_indices.get(partner).map(|&index| &self.partners[index]) else {
             return false;
@@ -234,8 +235,8 @@
         own_us + before.sum::<u64>()
     }
 
-    /// Whether the entry would make asks of its partner late that were accepted with a promise to meet their
-    /// target. The new ask is denied in that case, because nothing was promised to it yet.
+    /// Whether the entry would make grant requests of its partner late that were accepted with a promise to
+    /// meet their target. The new grant request is denied in that case, because nothing was promised to it yet.
     fn would_delay(
         &self,
         now_us: MonoTime,
@@ -249,7 +250,8 @@
             return false;
         };
         let mut before_us = ahead_us;
-        // An ask whose deadline lies beyond the completion of the whole queue cannot be delayed past it.
+        // A grant request whose deadline lies beyond the completion of the whole queue cannot be delayed past
+        // it.
         let all_done_us = now_us + Micros(scale(self.work_us + entry.work_us.0, drain_ratio));
         if all_done_us <= latest_us {
             return false;
@@ -269,7 +271,7 @@
         false
     }
 
-    /// Adds an ask. The caller has checked the limits.
+    /// Adds a grant request. The caller has checked the limits.
     pub fn push(&mut self, entry: Waiting<Item>) {
         let index = self.partner_index(&entry.partner);
         self.sequence += 1;
@@ -308,7 +310,7 @@
         index
     }
 
-    /// Removes the ask of `request_id`, if it is waiting.
+    /// Removes the grant request of `request_id`, if it is waiting.
     pub fn remove(&mut self, request_id: RequestId) -> Option<Waiting<Item>> {
         let position = self.positions.remove(&request_id)?;
         let queue = &mut self.partners[position.partner];
@@ -322,7 +324,7 @@
         Some(entry)
     }
 
-    /// The request to grant next; late asks are demoted first.
+    /// The request to grant next; late grant requests are demoted first.
     pub fn peek(&mut self, now_us: MonoTime) -> Option<&Waiting<Item>> {
         let index = self.active.first()?.index;
         self.demote(now_us, index);
@@ -363,8 +365,8 @@
         }
     }
 
-    /// Moves asks that can no longer meet their target behind the others of their partner: they earn no
-    /// goodput, and granting them first would make others late.
+    /// Moves grant requests that can no longer meet their target behind the others of their partner: they earn
+    /// no goodput, and granting them first would make others late.
     fn demote(&mut self, now_us: MonoTime, index: usize) {
         if self.settings.order == QueueOrder::Fifo {
             return;
--- a/crates/core/src/slots/ledger.rs
+++ b/crates/core/src/slots/ledger.rs
@@ -11,12 +11,12 @@
 
 use super::drain_ratio::DrainRatio;
 use super::fair_queue::{FairQueue, QueueSettings, Waiting};
-use super::{Ask, AskId, DenyReason, GrantOutcome, GrantPhase, Role, ServerLoad, SlotMessage};
+use super::{DenyReason, GrantId, GrantOutcome, GrantPhase, GrantRequest, Role, ServerLoad, SlotMessage};
 
 /// Limits of a ledger.
 #[derive(Clone, Copy, Debug)]
 pub struct LedgerSettings {
-    /// Limits and order of the waiting asks.
+    /// Limits and order of the waiting grant requests.
     pub queue: QueueSettings,
     /// Lifetime of a grant that is not renewed. Several renewal periods, so that two lost messages do no
     /// harm; short, because the slots of a daemon that died stay unused for this time.
@@ -125,18 +125,18 @@
     pub held: Vec<RequestId>,
 }
 
-/// Origin of a waiting ask.
+/// Origin of a waiting grant request.
 #[derive(Clone, Debug)]
-struct AskOrigin {
+struct GrantRequestOrigin {
     requester: HostId,
-    ask: AskId,
+    grant_id: GrantId,
     needed_in_us: Option<Micros>,
 }
 
 #[derive(Clone, Debug)]
 struct Held {
     requester: HostId,
-    ask: AskId,
+    grant_id: GrantId,
     partner: PartnerId,
     charge_us: Micros,
     granted_us: MonoTime,
@@ -152,9 +152,9 @@
 
 /// Ledger of one server's grants.
 ///
-/// With a nearly full server and asks from all daemons, it prevents more requests than slots (the engine
-/// refuses the import and the prefill is wasted) and slots that are idle while requests wait. It counts its
-/// own grants rather than the server's load reports, which lag; reports only add what it cannot know, the
+/// With a nearly full server and grant requests from all daemons, it prevents more requests than slots (the
+/// engine refuses the import and the prefill is wasted) and slots that are idle while requests wait. It counts
+/// its own grants rather than the server's load reports, which lag; reports only add what it cannot know, the
 /// grants left from before it became the watcher.
 #[derive(Debug)]
 pub struct Ledger {
@@ -163,7 +163,7 @@
     role: Role,
     slots_total: u32,
     link_bytes_per_s: BytesPerSecond,
-    queue: FairQueue<AskOrigin>,
+    queue: FairQueue<GrantRequestOrigin>,
     held: BTreeMap<RequestId, Held>,
     unaccounted: HashSet<RequestId>,
     released: HashMap<RequestId, MonoTime>,
@@ -253,7 +253,7 @@
         self.held.len() + self.unaccounted.len()
     }
 
-    /// Number of waiting asks.
+    /// Number of waiting grant requests.
     pub fn waiting_len(&self) -> usize {
         self.queue.len()
     }
@@ -273,20 +273,20 @@
         actions: &mut Vec<LedgerAction>,
     ) {
         match message {
-            SlotMessage::Ask(ask) => self.ask(now_us, from, ask, actions),
-            SlotMessage::Withdraw { request_id, ask, .. } => {
+            SlotMessage::Request(grant_request) => self.add_request(now_us, from, grant_request, actions),
+            SlotMessage::Withdraw { request_id, grant_id, .. } => {
                 if let Some(entry) = self.queue.remove(request_id) {
                     self.record_drain(now_us, &entry);
                 }
-                self.release(now_us, request_id, ask, GrantOutcome::Unused, actions);
+                self.release(now_us, request_id, grant_id, GrantOutcome::Unused, actions);
             }
             SlotMessage::Started { request_id, .. } => self.prompt_started(now_us, request_id),
-            SlotMessage::Ready { request_id, ask, work_us, work_tokens, .. } => {
-                self.prompt_ready(now_us, request_id, ask, work_us, work_tokens, actions);
+            SlotMessage::Ready { request_id, grant_id, work_us, work_tokens, .. } => {
+                self.prompt_ready(now_us, request_id, grant_id, work_us, work_tokens, actions);
             }
             SlotMessage::Transferred { request_id, .. } => self.transfer_finished(now_us, request_id),
-            SlotMessage::Release { request_id, ask, outcome, .. } => {
-                self.release(now_us, request_id, ask, outcome, actions);
+            SlotMessage::Release { request_id, grant_id, outcome, .. } => {
+                self.release(now_us, request_id, grant_id, outcome, actions);
             }
             SlotMessage::Renew { held, .. } => self.renew(now_us, from, incarnation, held),
             SlotMessage::Queued { .. }
@@ -303,7 +303,7 @@
         self.grant_waiting(now_us, actions);
     }
 
-    /// Sets whether the server is leaving; waiting asks are denied if it is.
+    /// Sets whether the server is leaving; waiting grant requests are denied if it is.
     pub fn set_leaving(&mut self, now_us: MonoTime, leaving: bool, actions: &mut Vec<LedgerAction>) {
         self.leaving = leaving;
         if leaving {
@@ -317,19 +317,25 @@
         self.link_bytes_per_s = link_bytes_per_s;
     }
 
-    fn ask(&mut self, now_us: MonoTime, from: &HostId, ask: Ask, actions: &mut Vec<LedgerAction>) {
-        let request_id = ask.request_id;
+    fn add_request(
+        &mut self,
+        now_us: MonoTime,
+        from: &HostId,
+        grant_request: GrantRequest,
+        actions: &mut Vec<LedgerAction>,
+    ) {
+        let request_id = grant_request.request_id;
         if let Some(held) = self.held.get(&request_id) {
             // The grant was lost on the way, and the daemon asks again.
-            if held.ask == ask.ask {
+            if held.grant_id == grant_request.grant_id {
                 let message = self.grant_message(now_us, request_id, held);
                 actions.push(LedgerAction::Send { to: from.clone(), message });
             }
             return;
         }
-        // A waiting ask is repeated periodically and evaluated again: if it can no longer be served in time,
-        // an early refusal is better for its caller than a late answer. Its age is kept.
-        let mut entry = self.waiting_entry(now_us, from, ask);
+        // A waiting grant request is repeated periodically and evaluated again: if it can no longer be served
+        // in time, an early refusal is better for its caller than a late answer. Its age is kept.
+        let mut entry = self.waiting_entry(now_us, from, grant_request);
         if let Some(earlier) = self.queue.remove(request_id) {
             entry.since_us = earlier.since_us;
         }
@@ -337,12 +343,12 @@
             self.deny(now_us, &entry, reason, wait_us, actions);
             return;
         }
-        let ask_id = entry.item.ask;
+        let grant_id = entry.item.grant_id;
         self.queue.push(entry);
         self.grant_waiting(now_us, actions);
         if self.queue.get(request_id).is_some() {
             self.drain_ratio.start_busy(now_us);
-            self.send_queued(now_us, from, request_id, ask_id, actions);
+            self.send_queued(now_us, from, request_id, grant_id, actions);
         }
     }
 
@@ -351,33 +357,42 @@
         now_us: MonoTime,
         from: &HostId,
         request_id: RequestId,
-        ask: AskId,
+        grant_id: GrantId,
         actions: &mut Vec<LedgerAction>,
     ) {
         let (server, load) = (self.server.clone(), self.load(now_us));
-        let message = SlotMessage::Queued { server, request_id, ask, load };
+        let message = SlotMessage::Queued { server, request_id, grant_id, load };
         actions.push(LedgerAction::Send { to: from.clone(), message });
     }
 
-    fn waiting_entry(&self, now_us: MonoTime, from: &HostId, ask: Ask) -> Waiting<AskOrigin> {
+    fn waiting_entry(
+        &self,
+        now_us: MonoTime,
+        from: &HostId,
+        grant_request: GrantRequest,
+    ) -> Waiting<GrantRequestOrigin> {
         Waiting {
-            request_id: ask.request_id,
-            partner: ask.partner,
+            request_id: grant_request.request_id,
+            partner: grant_request.partner,
             since_us: now_us,
-            latest_us: ask.slack_us.map(|slack_us| now_us + slack_us),
-            work_us: self.work_us(ask.work_tokens),
-            charge_us: ask.charge_us,
-            item: AskOrigin { requester: from.clone(), ask: ask.ask, needed_in_us: ask.needed_in_us },
+            latest_us: grant_request.slack_us.map(|slack_us| now_us + slack_us),
+            work_us: self.work_us(grant_request.work_tokens),
+            charge_us: grant_request.charge_us,
+            item: GrantRequestOrigin {
+                requester: from.clone(),
+                grant_id: grant_request.grant_id,
+                needed_in_us: grant_request.needed_in_us,
+            },
         }
     }
 
-    /// Decides whether an ask is denied before it is queued.
+    /// Decides whether a grant request is denied before it is queued.
     ///
-    /// With more asks than the server can serve, a queue in which every ask waits past its target makes all
-    /// work late. An ask that its partner's share cannot serve in time is denied at once, before any prefill;
-    /// one whose target is missed already is still to be answered, and accepted if its wait is within the
-    /// limit for late asks.
-    fn refusal(&self, now_us: MonoTime, entry: &Waiting<AskOrigin>) -> Option<(DenyReason, Micros)> {
+    /// With more grant requests than the server can serve, a queue in which every grant request waits past its
+    /// target makes all work late. A grant request that its partner's share cannot serve in time is denied at
+    /// once, before any prefill; one whose target is missed already is still to be answered, and accepted if
+    /// its wait is within the limit for late grant requests.
+    fn refusal(&self, now_us: MonoTime, entry: &Waiting<GrantRequestOrigin>) -> Option<(DenyReason, Micros)> {
         if self.leaving {
             return Some((DenyReason::Leaving, Micros::ZERO));
         }
@@ -414,7 +429,7 @@
     fn deny(
         &mut self,
         now_us: MonoTime,
-        entry: &Waiting<AskOrigin>,
+        entry: &Waiting<GrantRequestOrigin>,
         reason: DenyReason,
         retry_after_us: Micros,
         actions: &mut Vec<LedgerAction>,
@@ -427,7 +442,7 @@
         let message = SlotMessage::Deny {
             server: self.server.clone(),
             request_id: entry.request_id,
-            ask: entry.item.ask,
+            grant_id: entry.item.grant_id,
             load: self.load(now_us),
             reason,
             retry_after_ms: retry_after_us.to_millis_ceil(),
@@ -470,7 +485,7 @@
     SlotMessage::Confirm {
         server: server.clone(),
         request_id,
-        ask: held.ask,
+        grant_id: held.grant_id,
         rate_bytes_per_s: held.rate_bytes_per_s,
     }
 }
--- a/crates/core/src/slots/ledger/grants.rs
+++ b/crates/core/src/slots/ledger/grants.rs
@@ -3,11 +3,11 @@
 use crate::ids::RequestId;
 use crate::units::{BytesPerSecond, Micros, MonoTime};
 
-use super::{AskOrigin, Held, Ledger, LedgerAction, MIN_WAKE_DELAY_US, confirm_message};
+use super::{GrantRequestOrigin, Held, Ledger, LedgerAction, MIN_WAKE_DELAY_US, confirm_message};
 use crate::slots::{GrantPhase, Role, SlotMessage, Waiting};
 
 impl Ledger {
-    /// Grants waiting asks while there is room.
+    /// Grants waiting requests while there is room.
     pub(super) fn grant_waiting(&mut self, now_us: MonoTime, actions: &mut Vec<LedgerAction>) {
         self.confirm(now_us, actions);
         while let Some(needed_in_us) = self.queue.peek(now_us).map(|entry| entry.item.needed_in_us) {
@@ -38,7 +38,7 @@
         }
     }
 
-    pub(super) fn record_drain(&mut self, now_us: MonoTime, entry: &Waiting<AskOrigin>) {
+    pub(super) fn record_drain(&mut self, now_us: MonoTime, entry: &Waiting<GrantRequestOrigin>) {
         if entry.since_us < now_us {
             self.drain_ratio.record(now_us, entry.work_us, !self.queue.is_empty());
         }
@@ -61,14 +61,14 @@
     pub(super) fn grant(
         &mut self,
         now_us: MonoTime,
-        entry: Waiting<AskOrigin>,
+        entry: Waiting<GrantRequestOrigin>,
         actions: &mut Vec<LedgerAction>,
     ) {
         self.record_drain(now_us, &entry);
         let request_id = entry.request_id;
         let held = Held {
             requester: entry.item.requester.clone(),
-            ask: entry.item.ask,
+            grant_id: entry.item.grant_id,
             partner: entry.partner,
             charge_us: entry.charge_us,
             granted_us: now_us,
@@ -93,7 +93,7 @@
         SlotMessage::Grant {
             server: self.server.clone(),
             request_id,
-            ask: held.ask,
+            grant_id: held.grant_id,
             load: self.load(now_us),
             ttl_ms: self.settings.grant_ttl_ms,
         }
--- a/crates/core/src/slots/ledger/progress.rs
+++ b/crates/core/src/slots/ledger/progress.rs
@@ -5,7 +5,7 @@
 use crate::units::{Micros, Millis, MonoTime, Tokens};
 
 use super::{Ledger, LedgerAction, MIN_OBSERVED_TOKENS, SPEED_WEIGHT, confirm_message};
-use crate::slots::{AskId, DenyReason, GrantOutcome, GrantPhase, Role};
+use crate::slots::{DenyReason, GrantId, GrantOutcome, GrantPhase, Role};
 
 impl Ledger {
     pub(super) fn prompt_started(&mut self, now_us: MonoTime, request_id: RequestId) {
@@ -19,12 +19,12 @@
         &mut self,
         now_us: MonoTime,
         request_id: RequestId,
-        ask: AskId,
+        grant_id: GrantId,
         work_us: Micros,
         work_tokens: Tokens,
         actions: &mut Vec<LedgerAction>,
     ) {
-        let Some(held) = self.held.get_mut(&request_id).filter(|held| held.ask == ask) else {
+        let Some(held) = self.held.get_mut(&request_id).filter(|held| held.grant_id == grant_id) else {
             return;
         };
         held.expires_us = now_us + self.settings.grant_ttl_ms;
@@ -38,7 +38,7 @@
             // The transfer waits for the link or its slot. The reply shows the requesting daemon that the
             // daemon with this ledger is still running.
             let requester = held.requester.clone();
-            self.send_queued(now_us, &requester, request_id, ask, actions);
+            self.send_queued(now_us, &requester, request_id, grant_id, actions);
             return;
         }
         if held.phase > GrantPhase::Running {
@@ -88,7 +88,7 @@
         &mut self,
         now_us: MonoTime,
         request_id: RequestId,
-        ask: AskId,
+        grant_id: GrantId,
         outcome: GrantOutcome,
         actions: &mut Vec<LedgerAction>,
     ) {
@@ -96,7 +96,7 @@
             return;
         };
         let (id, held) = entry;
-        if held.ask != ask {
+        if held.grant_id != grant_id {
             self.held.insert(id, held);
             return;
         }
--- a/crates/core/src/slots/ledger/renewal.rs
+++ b/crates/core/src/slots/ledger/renewal.rs
@@ -92,7 +92,7 @@
         }
         let held = Held {
             requester: from.clone(),
-            ask: grant.ask,
+            grant_id: grant.grant_id,
             partner: grant.partner,
             charge_us: Micros::ZERO,
             granted_us: now_us,
--- a/crates/core/src/slots/watcher.rs
+++ b/crates/core/src/slots/watcher.rs
@@ -45,8 +45,8 @@
         self.ledgers.insert(server.clone(), ledger);
     }
 
-    /// Stops watching `server`, which another daemon watches now. Waiting asks are denied, so that their
-    /// daemons ask there.
+    /// Stops watching `server`, which another daemon watches now. Waiting grant requests are denied, so that
+    /// their daemons ask there.
     pub fn unwatch(&mut self, now_us: MonoTime, server: &BackendServerId, actions: &mut Vec<LedgerAction>) {
         if let Some(mut ledger) = self.ledgers.remove(server) {
             ledger.deny_all(now_us, DenyReason::NotWatching, actions);
@@ -68,8 +68,8 @@
         self.ledgers.keys()
     }
 
-    /// Handles a message from the daemon on `from`. An ask for a server that is not watched here is denied at
-    /// once, so that the daemon looks up the watcher again instead of waiting for a timeout.
+    /// Handles a message from the daemon on `from`. A grant request for a server that is not watched here is
+    /// denied at once, so that the daemon looks up the watcher again instead of waiting for a timeout.
     pub fn handle(
         &mut self,
         now_us: MonoTime,
@@ -82,13 +82,13 @@
             ledger.handle(now_us, from, incarnation, message, actions);
             return;
         }
-        let SlotMessage::Ask(ask) = message else {
+        let SlotMessage::Request(grant_request) = message else {
             return;
         };
         let message = SlotMessage::Deny {
-            server: ask.server,
-            request_id: ask.request_id,
-            ask: ask.ask,
+            server: grant_request.server,
+            request_id: grant_request.request_id,
+            grant_id: grant_request.grant_id,
             load: ServerLoad::default(),
             reason: DenyReason::NotWatching,
             retry_after_ms: Millis::ZERO,
--- a/crates/core/tests/sched/cost.rs
+++ b/crates/core/tests/sched/cost.rs
@@ -5,7 +5,7 @@
     Action, Arrival, Event, Scheduler, SchedulerSettings, ServerRecord, ServerState,
 };
 use hibiscusvale_core::slots::{
-    Ask, AskId, GrantOutcome, Ledger, LedgerAction, LedgerSettings, Role, ServerLoad, SlotMessage,
+    GrantId, GrantOutcome, GrantRequest, Ledger, LedgerAction, LedgerSettings, Role, ServerLoad, SlotMessage,
 };
 use hibiscusvale_core::units::{Bytes, BytesPerSecond, Micros, Millis, MonoTime, Tokens};
 
@@ -78,23 +78,23 @@
     }
 
     fn grant_first(&mut self, now_us: MonoTime) {
-        let ask = self.actions.iter().find_map(|action| match action {
-            Action::Send(SlotMessage::Ask(ask)) => Some(ask.clone()),
+        let grant_request = self.actions.iter().find_map(|action| match action {
+            Action::Send(SlotMessage::Request(grant_request)) => Some(grant_request.clone()),
             _ => None,
         });
-        let Ask { request_id, ask, server, .. } = ask.unwrap();
+        let GrantRequest { request_id, grant_id, server, .. } = grant_request.unwrap();
         let load = ServerLoad { free: 5, open: true, ..ServerLoad::default() };
-        let grant = SlotMessage::Grant { server, request_id, ask, load, ttl_ms: Millis(3_000) };
+        let grant = SlotMessage::Grant { server, request_id, grant_id, load, ttl_ms: Millis(3_000) };
         self.feed(now_us, Event::Slot(grant));
     }
 }
 
-/// Ledger of a prefill server at which each of the given partners has two asks waiting.
+/// Ledger of a prefill server at which each of the given partners has two grant requests waiting.
 pub struct GrantBench {
     ledger: Ledger,
     host: HostId,
     partners: Vec<PartnerId>,
-    held: Vec<(RequestId, AskId)>,
+    held: Vec<(RequestId, GrantId)>,
     next: u64,
     actions: Vec<LedgerAction>,
 }
@@ -113,26 +113,26 @@
             next: 0,
             actions: Vec::new(),
         };
-        (0..bench.partners.len() * 2 + 1).for_each(|_| bench.ask());
+        (0..bench.partners.len() * 2 + 1).for_each(|_| bench.add_grant_request());
         bench
     }
 
-    /// Queues one ask, releases one turn and grants the next.
+    /// Queues one grant request, releases one turn and grants the next.
     pub fn step(&mut self) {
-        self.ask();
-        let (request_id, ask) = self.held.pop().unwrap();
+        self.add_grant_request();
+        let (request_id, grant_id) = self.held.pop().unwrap();
         let server = "s0".parse().unwrap();
-        let release = SlotMessage::Release { server, request_id, ask, outcome: GrantOutcome::Done };
+        let release = SlotMessage::Release { server, request_id, grant_id, outcome: GrantOutcome::Done };
         self.send(release);
         assert_eq!(self.held.len(), 1);
     }
 
-    fn ask(&mut self) {
+    fn add_grant_request(&mut self) {
         self.next += 1;
         let partner = self.partners[self.next as usize % self.partners.len()].clone();
-        let ask = Ask {
+        let grant_request = GrantRequest {
             request_id: RequestId { incarnation: Incarnation(1), sequence: self.next },
-            ask: AskId(self.next),
+            grant_id: GrantId(self.next),
             server: "s0".parse().unwrap(),
             partner,
             work_tokens: Tokens(1_600),
@@ -142,7 +142,7 @@
             copies: 2,
             needed_in_us: None,
         };
-        self.send(SlotMessage::Ask(ask));
+        self.send(SlotMessage::Request(grant_request));
     }
 
     fn send(&mut self, message: SlotMessage) {
@@ -151,8 +151,10 @@
         self.ledger.handle(now_us, &self.host, Incarnation(1), message, &mut self.actions);
         let mut started = None;
         for action in &self.actions {
-            if let LedgerAction::Send { message: SlotMessage::Grant { request_id, ask, .. }, .. } = action {
-                self.held.push((*request_id, *ask));
+            if let LedgerAction::Send { message: SlotMessage::Grant { request_id, grant_id, .. }, .. } =
+                action
+            {
+                self.held.push((*request_id, *grant_id));
                 started = Some(*request_id);
             }
         }
--- a/crates/core/tests/sched/ledger.rs
+++ b/crates/core/tests/sched/ledger.rs
@@ -2,7 +2,7 @@
 
 use hibiscusvale_core::ids::{HostId, Incarnation, RequestId};
 use hibiscusvale_core::slots::{
-    Ask, AskId, DenyReason, GrantOutcome, GrantPhase, HeldGrant, HeldReport, Ledger, LedgerAction,
+    DenyReason, GrantId, GrantOutcome, GrantPhase, GrantRequest, HeldGrant, HeldReport, Ledger, LedgerAction,
     LedgerSettings, Role, SlotMessage,
 };
 use hibiscusvale_core::units::{Bytes, BytesPerSecond, Micros, MonoTime, Tokens};
@@ -15,10 +15,10 @@
     RequestId { incarnation: Incarnation(incarnation.into()), sequence }
 }
 
-fn ask(request_id: RequestId) -> SlotMessage {
-    SlotMessage::Ask(Ask {
+fn request_grant(request_id: RequestId) -> SlotMessage {
+    SlotMessage::Request(GrantRequest {
         request_id,
-        ask: AskId(request_id.sequence),
+        grant_id: GrantId(request_id.sequence),
         server: "d0".parse().unwrap(),
         partner: "a".parse().unwrap(),
         work_tokens: Tokens(100),
@@ -31,19 +31,19 @@
 }
 
 fn release(request_id: RequestId, outcome: GrantOutcome) -> SlotMessage {
-    let (server, ask) = ("d0".parse().unwrap(), AskId(request_id.sequence));
-    SlotMessage::Release { server, request_id, ask, outcome }
+    let (server, grant_id) = ("d0".parse().unwrap(), GrantId(request_id.sequence));
+    SlotMessage::Release { server, request_id, grant_id, outcome }
 }
 
 fn ready(request_id: RequestId) -> SlotMessage {
-    let (server, ask) = ("d0".parse().unwrap(), AskId(request_id.sequence));
-    SlotMessage::Ready { server, request_id, ask, work_us: Micros(0), work_tokens: Tokens(0) }
+    let (server, grant_id) = ("d0".parse().unwrap(), GrantId(request_id.sequence));
+    SlotMessage::Ready { server, request_id, grant_id, work_us: Micros(0), work_tokens: Tokens(0) }
 }
 
 fn held(request_id: RequestId) -> HeldGrant {
     HeldGrant {
         request_id,
-        ask: AskId(request_id.sequence),
+        grant_id: GrantId(request_id.sequence),
         partner: "a".parse().unwrap(),
         phase: GrantPhase::Transferred,
         rate_bytes_per_s: LINK,
@@ -117,9 +117,9 @@
 #[test]
 fn grants_exactly_its_slots() {
     let mut fixture = LedgerFixture::new(Role::Decode, &[]);
-    assert_eq!(granted(&fixture.send(1, ask(id(1, 1)))), [1]);
-    assert_eq!(granted(&fixture.send(1, ask(id(1, 2)))), [2]);
-    assert_eq!(granted(&fixture.send(2, ask(id(2, 3)))), [] as [u64; 0]);
+    assert_eq!(granted(&fixture.send(1, request_grant(id(1, 1)))), [1]);
+    assert_eq!(granted(&fixture.send(1, request_grant(id(1, 2)))), [2]);
+    assert_eq!(granted(&fixture.send(2, request_grant(id(2, 3)))), [] as [u64; 0]);
     assert_eq!(granted(&fixture.send(1, release(id(1, 1), GrantOutcome::Done))), [3]);
 }
 
@@ -127,8 +127,8 @@
 #[test]
 fn repeated_ask_gets_the_same_grant() {
     let mut fixture = LedgerFixture::new(Role::Decode, &[]);
-    fixture.send(1, ask(id(1, 1)));
-    assert_eq!(granted(&fixture.send(1, ask(id(1, 1)))), [1]);
+    fixture.send(1, request_grant(id(1, 1)));
+    assert_eq!(granted(&fixture.send(1, request_grant(id(1, 1)))), [1]);
     assert_eq!(fixture.ledger.held_len(), 1);
 }
 
@@ -139,7 +139,7 @@
 #[case::crossing(100_000, 1)]
 fn renewal_frees_the_slot_of_a_lost_release(#[case] at_us: u64, #[case] left: usize) {
     let mut fixture = LedgerFixture::new(Role::Decode, &[]);
-    fixture.send(1, ask(id(1, 1)));
+    fixture.send(1, request_grant(id(1, 1)));
     fixture.now_us = at_us;
     fixture.send(1, renew(Vec::new()));
     assert_eq!(fixture.ledger.held_len(), left);
@@ -150,9 +150,9 @@
 #[test]
 fn slot_of_a_failed_daemon_waits_for_the_engine() {
     let mut fixture = LedgerFixture::new(Role::Decode, &[]);
-    fixture.send(1, ask(id(1, 1)));
-    fixture.send(1, ask(id(1, 2)));
-    fixture.send(2, ask(id(2, 3)));
+    fixture.send(1, request_grant(id(1, 1)));
+    fixture.send(1, request_grant(id(1, 2)));
+    fixture.send(2, request_grant(id(2, 3)));
     fixture.now_us = TTL_US + 1;
     let cancelled = fixture.tick().into_iter().filter(|action| matches!(action, LedgerAction::Cancel { .. }));
     assert_eq!(cancelled.count(), 2);
@@ -166,13 +166,13 @@
 #[test]
 fn new_watcher_waits_for_old_grants() {
     let mut fixture = LedgerFixture::new(Role::Decode, &[Incarnation(1), Incarnation(2)]);
-    assert_eq!(denied(&fixture.send(1, ask(id(1, 9)))), [DenyReason::Unhealthy]);
+    assert_eq!(denied(&fixture.send(1, request_grant(id(1, 9)))), [DenyReason::Unhealthy]);
     fixture.send(1, renew(vec![held(id(1, 1))]));
     fixture.send(2, renew(vec![held(id(2, 2))]));
     assert!(fixture.ledger.is_taking_over(MonoTime(0)));
     fixture.report(&[id(1, 1), id(2, 2)]);
     assert!(!fixture.ledger.is_taking_over(MonoTime(0)));
-    assert_eq!(granted(&fixture.send(1, ask(id(1, 9)))), [] as [u64; 0]);
+    assert_eq!(granted(&fixture.send(1, request_grant(id(1, 9)))), [] as [u64; 0]);
     assert_eq!(fixture.ledger.counters().over_committed, 0);
 }
 
@@ -182,7 +182,7 @@
 fn grants_resume_when_unknown_grants_have_expired() {
     let mut fixture = LedgerFixture::new(Role::Decode, &[Incarnation(1)]);
     fixture.now_us = TTL_US;
-    assert_eq!(granted(&fixture.send(2, ask(id(2, 1)))), [1]);
+    assert_eq!(granted(&fixture.send(2, request_grant(id(2, 1)))), [1]);
 }
 
 // When two watchers granted the same slots for a moment, the excess is counted once the grants are
@@ -190,8 +190,8 @@
 #[test]
 fn over_commitment_is_counted() {
     let mut fixture = LedgerFixture::new(Role::Decode, &[]);
-    fixture.send(1, ask(id(1, 1)));
-    fixture.send(1, ask(id(1, 2)));
+    fixture.send(1, request_grant(id(1, 1)));
+    fixture.send(1, request_grant(id(1, 2)));
     fixture.send(2, renew(vec![held(id(2, 3))]));
     assert_eq!(fixture.ledger.counters().over_committed, 1);
 }
@@ -201,7 +201,7 @@
 fn transfers_share_the_link() {
     let mut fixture = LedgerFixture::new(Role::Decode, &[]);
     let rates = [1, 2].map(|sequence| {
-        fixture.send(1, ask(id(1, sequence)));
+        fixture.send(1, request_grant(id(1, sequence)));
         let actions = fixture.send(1, ready(id(1, sequence)));
         let confirm = |action: &LedgerAction| match action {
             LedgerAction::Send { message: SlotMessage::Confirm { rate_bytes_per_s, .. }, .. } => {
@@ -219,29 +219,29 @@
 #[test]
 fn unresponsive_server_is_closed_and_probed() {
     let mut fixture = LedgerFixture::new(Role::Decode, &[]);
-    (1..=3).for_each(|sequence| drop(fixture.send(1, ask(id(1, sequence)))));
+    (1..=3).for_each(|sequence| drop(fixture.send(1, request_grant(id(1, sequence)))));
     fixture.send(1, release(id(1, 1), GrantOutcome::TimedOut));
-    let actions = fixture.send(1, ask(id(1, 4)));
+    let actions = fixture.send(1, request_grant(id(1, 4)));
     assert!(denied(&actions).is_empty());
     let actions = fixture.send(1, release(id(1, 2), GrantOutcome::TimedOut));
     assert_eq!(denied(&actions), [DenyReason::Unhealthy]);
     fixture.send(1, release(id(1, 3), GrantOutcome::Abandoned));
     fixture.now_us = 1_100_000;
-    assert_eq!(granted(&fixture.send(1, ask(id(1, 5)))), [5]);
-    assert_eq!(denied(&fixture.send(1, ask(id(1, 6)))), [DenyReason::Unhealthy]);
+    assert_eq!(granted(&fixture.send(1, request_grant(id(1, 5)))), [5]);
+    assert_eq!(denied(&fixture.send(1, request_grant(id(1, 6)))), [DenyReason::Unhealthy]);
     fixture.send(1, release(id(1, 5), GrantOutcome::Done));
-    assert_eq!(granted(&fixture.send(1, ask(id(1, 6)))), [6]);
+    assert_eq!(granted(&fixture.send(1, request_grant(id(1, 6)))), [6]);
 }
 
 // A leaving server grants nothing more, and waiting requests are denied at once.
 #[test]
 fn leaving_server_denies_waiting_requests() {
     let mut fixture = LedgerFixture::new(Role::Decode, &[]);
-    (1..=3).for_each(|sequence| drop(fixture.send(1, ask(id(1, sequence)))));
+    (1..=3).for_each(|sequence| drop(fixture.send(1, request_grant(id(1, sequence)))));
     let mut actions = Vec::new();
     fixture.ledger.set_leaving(MonoTime(0), true, &mut actions);
     assert_eq!(denied(&actions), [DenyReason::Leaving]);
-    assert_eq!(denied(&fixture.send(1, ask(id(1, 4)))), [DenyReason::Leaving]);
+    assert_eq!(denied(&fixture.send(1, request_grant(id(1, 4)))), [DenyReason::Leaving]);
 }
 
 // A prefill server processes one prompt at a time; a request that would miss its target behind it is denied
@@ -250,8 +250,12 @@
 fn prefill_ask_that_would_be_late_is_denied() {
     let mut fixture = LedgerFixture::new(Role::Prefill, &[]);
     let long = |sequence, tokens, slack_us| {
-        let SlotMessage::Ask(ask) = ask(id(1, sequence)) else { unreachable!() };
-        SlotMessage::Ask(Ask { work_tokens: Tokens(tokens), slack_us: Some(Micros(slack_us)), ..ask })
+        let SlotMessage::Request(message) = request_grant(id(1, sequence)) else { unreachable!() };
+        SlotMessage::Request(GrantRequest {
+            work_tokens: Tokens(tokens),
+            slack_us: Some(Micros(slack_us)),
+            ..message
+        })
     };
     assert_eq!(granted(&fixture.send(1, long(1, 8_000, 0))), [1]);
     assert_eq!(denied(&fixture.send(1, long(2, 8_000, 900_000))), [DenyReason::WouldMissTarget]);
--- a/crates/core/tests/sched/plain.rs
+++ b/crates/core/tests/sched/plain.rs
@@ -138,7 +138,7 @@
                 let partner = self.partner_of[&request_id].0.clone();
                 *self.results.refused.entry(partner).or_default() += 1;
             }
-            PlainAction::Borrow(ask) => panic!("unexpected loan request: {ask:?}"),
+            PlainAction::Borrow(loan) => panic!("unexpected loan request: {loan:?}"),
             PlainAction::Unknown { .. } => self.results.unknown += 1,
             PlainAction::Wake { at_us } => {
                 if self.heap.len() < 100_000 {
--- a/crates/router/src/metrics_reporter.rs
+++ b/crates/router/src/metrics_reporter.rs
@@ -61,7 +61,7 @@
     GrantTakenOver,
     EngineOverCommitted,
     EngineUnresponsive,
-    AskTimedOut,
+    GrantRequestTimedOut,
     TurnReturned,
     RetryDenied,
     SlotUnconfirmed,
@@ -75,7 +75,7 @@
             Self::GrantTakenOver => "grant-taken-over",
             Self::EngineOverCommitted => "engine-over-committed",
             Self::EngineUnresponsive => "engine-closed-as-mute",
-            Self::AskTimedOut => "ask-timed-out",
+            Self::GrantRequestTimedOut => "ask-timed-out",
             Self::TurnReturned => "turn-returned",
             Self::RetryDenied => "retry-denied",
             Self::SlotUnconfirmed => "slot-unconfirmed",
@@ -93,7 +93,12 @@
 }
 
 fn count_scheduler(metrics: &Metrics, before: &Counters, after: &Counters) {
-    count(metrics, DaemonEvent::AskTimedOut, before.ask_timeouts, after.ask_timeouts);
+    count(
+        metrics,
+        DaemonEvent::GrantRequestTimedOut,
+        before.grant_request_timeouts,
+        after.grant_request_timeouts,
+    );
     count(metrics, DaemonEvent::TurnReturned, before.turns_returned, after.turns_returned);
     count(metrics, DaemonEvent::RetryDenied, before.retries_denied, after.retries_denied);
     count(metrics, DaemonEvent::SlotUnconfirmed, before.unconfirmed_transfers, after.unconfirmed_transfers);
--- a/crates/router/src/relay/daemon.rs
+++ b/crates/router/src/relay/daemon.rs
@@ -103,7 +103,7 @@
         let log = Log::stdout(settings.observe.log_level)?;
         let traffic = runtime("traffic")?;
         let control = runtime("control")?;
-        let (asks, loan_requests) = LoanRequestSender::channel();
+        let (loan_sender, loan_requests) = LoanRequestSender::channel();
         let (quotas, outgoing) = QuotaHub::new(settings.host.id.clone());
         let (quarantine, evidence_due) = QuarantineHub::new(incarnation);
         let state = Arc::new(RelayState {
@@ -114,13 +114,13 @@
             plain_hub: PlainHub::new(
                 budget::plain(&settings.bounds, ASSUMED_DAEMONS),
                 incarnation.seed(),
-                asks.clone(),
+                loan_sender.clone(),
             ),
             engine_hub: EngineHub::new(
                 budget::engines(&settings.bounds, ASSUMED_DAEMONS, BroadcastScope::default()),
                 &settings.host,
                 incarnation.seed(),
-                asks,
+                loan_sender,
             ),
             freshness: Freshness::default(),
             caller_waits: Mutex::default(),
--- a/crates/router/src/relay/engine_hub.rs
+++ b/crates/router/src/relay/engine_hub.rs
@@ -40,7 +40,7 @@
     host: HostId,
     data_centre: DataCentreId,
     seed: u64,
-    asks: LoanRequestSender,
+    loan_requests: LoanRequestSender,
 }
 
 /// An open request. Dropping it tells the pool that the caller left, unless the request had ended.
@@ -109,7 +109,7 @@
         settings: EnginePoolSettings,
         host: &HostSettings,
         seed: u64,
-        asks: LoanRequestSender,
+        loan_requests: LoanRequestSender,
     ) -> Self {
         Self {
             services: Mutex::default(),
@@ -118,7 +118,7 @@
             host: host.id.clone(),
             data_centre: host.data_centre.clone(),
             seed,
-            asks,
+            loan_requests,
         }
     }
 
@@ -299,7 +299,7 @@
         for action in actions {
             match &action {
                 EngineAction::Wake { at_us } => self.alarm.set(*at_us),
-                EngineAction::Borrow(ask) => self.asks.send(name, ask.clone()),
+                EngineAction::Borrow(loan) => self.loan_requests.send(name, loan.clone()),
                 EngineAction::Reserve { request_id, .. }
                 | EngineAction::Prefill { request_id, .. }
                 | EngineAction::Decode { request_id, .. }
--- a/crates/router/src/relay/exchange.rs
+++ b/crates/router/src/relay/exchange.rs
@@ -134,7 +134,7 @@
 pub async fn run(
     address: SocketAddr,
     host: HostId,
-    asks: mpsc::UnboundedReceiver<ServiceLoanRequest>,
+    loan_requests: mpsc::UnboundedReceiver<ServiceLoanRequest>,
     outgoing: mpsc::UnboundedReceiver<Outgoing>,
     state: Arc<RelayState>,
 ) -> io::Result<()> {
@@ -143,7 +143,7 @@
     tokio::join!(
         send_messages(&socket, &host, &state),
         receive_messages(&socket, &host, &state),
-        loans::send_requests(&socket, asks, &state),
+        loans::send_requests(&socket, loan_requests, &state),
         send_queued(&socket, outgoing),
         state_transfer::serve(Arc::clone(&state), listener),
         state_transfer::bootstrap(Arc::clone(&state)),
--- a/crates/router/src/relay/loans.rs
+++ b/crates/router/src/relay/loans.rs
@@ -43,10 +43,10 @@
 /// Sends the schedulers' loan requests, for as long as the daemon runs.
 pub async fn send_requests(
     socket: &UdpSocket,
-    mut asks: mpsc::UnboundedReceiver<ServiceLoanRequest>,
+    mut loan_requests: mpsc::UnboundedReceiver<ServiceLoanRequest>,
     state: &RelayState,
 ) {
-    while let Some(ServiceLoanRequest { service, loan }) = asks.recv().await {
+    while let Some(ServiceLoanRequest { service, loan }) = loan_requests.recv().await {
         let Some(lender) = state.peers.address_of(&loan.lender) else {
             continue;
         };
