--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -4,7 +4,6 @@
 //! state, and returns typed actions. The `hibiscusvale` crate executes the actions. The dependency list
 //! enforces this: the crate depends on no async runtime, socket or file library.
 
-pub mod allowance;
 pub mod claim;
 pub mod config;
 pub mod ids;
@@ -18,6 +17,7 @@
 pub mod quota;
 pub mod relay;
 pub mod retransmit;
+pub mod retry_budget;
 pub mod sched;
 pub mod slots;
 pub mod spread;
--- a/crates/core/src/relay/engines/admission.rs
+++ b/crates/core/src/relay/engines/admission.rs
@@ -5,9 +5,9 @@
 use super::events::{Demand, EngineAction, EngineRefusal, Role};
 use super::open_request::{OpenRequest, Payment, Stage};
 use super::prefill::START_MARGIN_MS;
-use crate::allowance::LENDER_TIMEOUT_MS;
 use crate::ids::RequestId;
 use crate::outcome::{Attempts, Outcome};
+use crate::retry_budget::LENDER_TIMEOUT_MS;
 use crate::units::{Micros, Millis, MonoTime, Tokens};
 
 impl EnginePool {
--- a/crates/core/src/relay/engines/events.rs
+++ b/crates/core/src/relay/engines/events.rs
@@ -4,9 +4,9 @@
 
 use super::memory::Growth;
 use super::stats::WorkloadStats;
-use crate::allowance::LoanRequest;
 use crate::ids::{BackendServerId, HostId, RequestId};
 use crate::outcome::Repeatability;
+use crate::retry_budget::LoanRequest;
 use crate::sched::{FailureCause, LimitReached};
 use crate::units::{Credit, Micros, Millis, MonoTime, Tokens};
 
--- a/crates/core/src/relay/engines/mod.rs
+++ b/crates/core/src/relay/engines/mod.rs
@@ -21,8 +21,8 @@
 
 use std::collections::HashMap;
 
-use crate::allowance::Allowance;
 use crate::ids::{BackendServerId, HostId, RequestId};
+use crate::retry_budget::SharedRetryBudget;
 use crate::units::MonoTime;
 
 use engine::Engine;
@@ -49,7 +49,7 @@
     index_by_name: HashMap<BackendServerId, usize>,
     open: HashMap<RequestId, OpenRequest>,
     waiting: Vec<RequestId>,
-    budget: Allowance,
+    budget: SharedRetryBudget,
     counters: EngineCounters,
     wake_us: Option<MonoTime>,
     /// Statistics of this daemon's recent requests.
@@ -73,7 +73,7 @@
             index_by_name: HashMap::new(),
             open: HashMap::new(),
             waiting: Vec::new(),
-            budget: Allowance::new(settings.retries, rotation as u64),
+            budget: SharedRetryBudget::new(settings.retries, rotation as u64),
             counters: EngineCounters::default(),
             wake_us: None,
             own_stats: DecayingStats::default(),
@@ -110,7 +110,7 @@
     }
 
     /// Budget of this daemon for retries.
-    pub fn allowance(&mut self) -> &mut Allowance {
+    pub fn retry_budget(&mut self) -> &mut SharedRetryBudget {
         &mut self.budget
     }
 
--- a/crates/core/src/relay/engines/retry_payment.rs
+++ b/crates/core/src/relay/engines/retry_payment.rs
@@ -3,8 +3,8 @@
 use super::EnginePool;
 use super::events::EngineAction;
 use super::open_request::Payment;
-use crate::allowance::LOAN_TIMEOUT_MS;
 use crate::ids::RequestId;
+use crate::retry_budget::LOAN_TIMEOUT_MS;
 use crate::units::MonoTime;
 
 impl EnginePool {
--- a/crates/core/src/relay/engines/settings.rs
+++ b/crates/core/src/relay/engines/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of the engine pool.
 
-use crate::allowance::AllowanceSettings;
+use crate::retry_budget::SharedRetryBudgetSettings;
 use crate::sched::InstanceSettings;
 use crate::units::{Millis, Tokens};
 
@@ -28,7 +28,7 @@
     /// Time beyond the expected duration after which a prefill counts as failed.
     pub prefill_slack_ms: Millis,
     /// Budget of this daemon for retries.
-    pub retries: AllowanceSettings,
+    pub retries: SharedRetryBudgetSettings,
     /// Whether engines of the own data centre go before all others; set where daemons of other data centres
     /// send no messages about theirs.
     pub prefer_local: bool,
@@ -46,7 +46,7 @@
             hold_ms: Millis(500),
             waiting_max: 256,
             prefill_slack_ms: Millis(1_000),
-            retries: AllowanceSettings::default(),
+            retries: SharedRetryBudgetSettings::default(),
             prefer_local: false,
         }
     }
--- a/crates/core/src/allowance.rs
+++ b/crates/core/src/retry_budget.rs
@@ -40,7 +40,7 @@
 
 /// Budget of one daemon.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AllowanceSettings {
+pub struct SharedRetryBudgetSettings {
     /// Credit that each accepted request earns.
     pub credit_per_request: Credit,
     /// This daemon's share of the slack: credit that may be spent in each window beyond the earned credit.
@@ -49,7 +49,7 @@
     pub window_ms: Millis,
 }
 
-impl Default for AllowanceSettings {
+impl Default for SharedRetryBudgetSettings {
     fn default() -> Self {
         Self {
             credit_per_request: Credit(200),
@@ -86,8 +86,8 @@
 
 /// Retry budget of one daemon for one service. Times count from the start of the daemon.
 #[derive(Clone, Debug)]
-pub struct Allowance {
-    settings: AllowanceSettings,
+pub struct SharedRetryBudget {
+    settings: SharedRetryBudgetSettings,
     /// Accumulated credit that requests earned.
     savings: Credit,
     /// Spent without cover: a retry that was free at first was charged afterwards.
@@ -104,10 +104,10 @@
     seed: u64,
 }
 
-impl Allowance {
+impl SharedRetryBudget {
     /// Creates a budget without earned credit, and with the whole slack reserved for one window and the
     /// lifetime of a loan.
-    pub fn new(settings: AllowanceSettings, seed: u64) -> Self {
+    pub fn new(settings: SharedRetryBudgetSettings, seed: u64) -> Self {
         Self {
             settings,
             savings: Credit::ZERO,
@@ -122,7 +122,7 @@
     }
 
     /// Replaces the settings; reserved slack stays reserved.
-    pub fn configure(&mut self, settings: AllowanceSettings) {
+    pub fn configure(&mut self, settings: SharedRetryBudgetSettings) {
         self.settings = settings;
         self.savings = self.savings.min(self.savings_max());
     }
--- a/crates/core/src/sched/mod.rs
+++ b/crates/core/src/sched/mod.rs
@@ -29,7 +29,7 @@
 pub use instance::{InstanceSettings, LimitReached};
 pub use plain::{PlainScheduler, PlainSettings};
 pub use plain_events::{PlainAction, PlainArrival, PlainCounters, PlainEvent, PlainInstance, PlainRefusal};
-pub use retry::RetryBudget;
+pub use retry::PartnerRetryBudget;
 pub use scheduler::Scheduler;
 pub use settings::{PrefillStart, SchedulerSettings};
 pub use shift::{EngineView, ModelDemand, ShiftOrder, ShiftPlanner, ShiftSettings};
--- a/crates/core/src/sched/plain.rs
+++ b/crates/core/src/sched/plain.rs
@@ -9,10 +9,10 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::allowance::{Allowance, AllowanceSettings, LENDER_TIMEOUT_MS, LOAN_TIMEOUT_MS};
 use crate::ids::{BackendServerId, PartnerId, RequestId};
 use crate::outcome::{Attempts, Outcome, Repeatability, RetryRefusal};
 use crate::quota::CREDIT_PER_UNIT;
+use crate::retry_budget::{LENDER_TIMEOUT_MS, LOAN_TIMEOUT_MS, SharedRetryBudget, SharedRetryBudgetSettings};
 use crate::slots::{FairQueue, QueueSettings, Waiting};
 use crate::units::{Micros, Millis, MonoTime};
 
@@ -22,7 +22,7 @@
 use super::plain_events::{
     PlainAction, PlainArrival, PlainCounters, PlainEvent, PlainInstance, PlainRefusal,
 };
-use super::retry::RetryBudget;
+use super::retry::PartnerRetryBudget;
 
 /// Limits of a [`PlainScheduler`].
 #[derive(Clone, Copy, Debug)]
@@ -35,9 +35,9 @@
     pub retry_percent: u64,
     /// Maximum number of saved retries.
     pub retry_burst: u64,
-    /// This daemon's part of a retry allowance shared by all daemons; replaces the budgets of the partners
+    /// This daemon's part of a retry budget shared by all daemons; replaces the budgets of the partners
     /// where present.
-    pub shared_retries: Option<AllowanceSettings>,
+    pub shared_retries: Option<SharedRetryBudgetSettings>,
     /// Upper bound of the first back-off; doubled with each retry.
     pub backoff_ms: Millis,
 }
@@ -77,9 +77,9 @@
 #[derive(Debug)]
 enum RetrySource {
     /// Budgets earned by the arrivals of each partner.
-    PerPartner(HashMap<PartnerId, RetryBudget>),
-    /// This daemon's part of an allowance shared by all daemons.
-    Shared(Allowance),
+    PerPartner(HashMap<PartnerId, PartnerRetryBudget>),
+    /// This daemon's part of a retry budget shared by all daemons.
+    Shared(SharedRetryBudget),
 }
 
 /// Schedules the calls of one daemon to one plain service.
@@ -111,7 +111,7 @@
             calls: HashMap::new(),
             queue: FairQueue::new(settings.queue),
             retry_source: match settings.shared_retries {
-                Some(shared) => RetrySource::Shared(Allowance::new(shared, seed)),
+                Some(shared) => RetrySource::Shared(SharedRetryBudget::new(shared, seed)),
                 None => RetrySource::PerPartner(HashMap::new()),
             },
             retries: Vec::new(),
@@ -130,20 +130,20 @@
                     budget.configure(settings.retry_percent, settings.retry_burst);
                 }
             }
-            RetrySource::Shared(allowance) => {
+            RetrySource::Shared(retry_budget) => {
                 if let Some(shared) = settings.shared_retries {
-                    allowance.configure(shared);
+                    retry_budget.configure(shared);
                 }
             }
         }
         self.settings = settings;
     }
 
-    /// This daemon's part of the shared allowance, if there is one.
-    pub fn allowance(&mut self) -> Option<&mut Allowance> {
+    /// This daemon's part of the shared retry budget, if there is one.
+    pub fn retry_budget(&mut self) -> Option<&mut SharedRetryBudget> {
         match &mut self.retry_source {
             RetrySource::PerPartner(_) => None,
-            RetrySource::Shared(allowance) => Some(allowance),
+            RetrySource::Shared(retry_budget) => Some(retry_budget),
         }
     }
 
@@ -171,8 +171,8 @@
                 }
             }
             PlainEvent::Lent { number, credit, spare } => {
-                if let Some(allowance) = self.allowance() {
-                    allowance.receive(now_us, number, credit, spare);
+                if let Some(retry_budget) = self.retry_budget() {
+                    retry_budget.receive(now_us, number, credit, spare);
                 }
             }
             PlainEvent::Limited { server, reached } => {
@@ -215,9 +215,9 @@
         match &mut self.retry_source {
             RetrySource::PerPartner(budgets) => budgets
                 .entry(arrival.partner.clone())
-                .or_insert_with(|| RetryBudget::new(retry_percent, retry_burst))
+                .or_insert_with(|| PartnerRetryBudget::new(retry_percent, retry_burst))
                 .deposit(),
-            RetrySource::Shared(allowance) => allowance.deposit(),
+            RetrySource::Shared(retry_budget) => retry_budget.deposit(),
         }
         let request_id = arrival.request_id;
         if self.calls.contains_key(&request_id) {
@@ -504,9 +504,11 @@
         }
         let (funded, may_borrow) = match &mut self.retry_source {
             RetrySource::PerPartner(budgets) => {
-                (budgets.get_mut(&call.arrival.partner).is_some_and(RetryBudget::withdraw), false)
+                (budgets.get_mut(&call.arrival.partner).is_some_and(PartnerRetryBudget::withdraw), false)
+            }
+            RetrySource::Shared(retry_budget) => {
+                (retry_budget.try_withdraw(now_us), retry_budget.may_borrow())
             }
-            RetrySource::Shared(allowance) => (allowance.try_withdraw(now_us), allowance.may_borrow()),
         };
         if funded {
             self.schedule_retry(now_us, request_id);
@@ -535,15 +537,15 @@
     fn fund_retries(&mut self, now_us: MonoTime, actions: &mut Vec<PlainAction>) {
         let calls = &self.calls;
         self.unfunded.retain(|unfunded| calls.contains_key(&unfunded.request_id));
-        let RetrySource::Shared(allowance) = &mut self.retry_source else {
+        let RetrySource::Shared(retry_budget) = &mut self.retry_source else {
             return;
         };
-        let affordable = self.unfunded.iter().take_while(|_| allowance.try_withdraw(now_us)).count();
+        let affordable = self.unfunded.iter().take_while(|_| retry_budget.try_withdraw(now_us)).count();
         let funded: Vec<UnfundedRetry> = self.unfunded.drain(..affordable).collect();
-        if let Some(loan) = allowance.request_loan(now_us, self.unfunded.len() as u64) {
+        if let Some(loan) = retry_budget.request_loan(now_us, self.unfunded.len() as u64) {
             actions.push(PlainAction::Borrow(loan));
         }
-        let may_borrow = allowance.may_borrow();
+        let may_borrow = retry_budget.may_borrow();
         let is_over = |unfunded: &UnfundedRetry| now_us >= unfunded.until_us || !may_borrow;
         let denied: Vec<UnfundedRetry> = self.unfunded.extract_if(.., |unfunded| is_over(unfunded)).collect();
         for UnfundedRetry { request_id, .. } in funded {
--- a/crates/core/src/sched/plain_events.rs
+++ b/crates/core/src/sched/plain_events.rs
@@ -1,7 +1,7 @@
 //! Inputs and outputs of the scheduler of a plain service.
 
-use crate::allowance::LoanRequest;
 use crate::ids::{BackendServerId, PartnerId, RequestId};
+use crate::retry_budget::LoanRequest;
 use crate::units::{Credit, Micros, Millis, MonoTime};
 
 use super::directory::StatusUpdate;
--- a/crates/core/src/sched/retry.rs
+++ b/crates/core/src/sched/retry.rs
@@ -7,7 +7,7 @@
 /// fixed fraction to the load. Each partner has its own budget, so that its failures do not use up the
 /// retries of others.
 #[derive(Clone, Copy, Debug)]
-pub struct RetryBudget {
+pub struct PartnerRetryBudget {
     /// Negative after a charge that could not be refused.
     hundredths: i64,
     burst_hundredths: i64,
@@ -16,7 +16,7 @@
 
 const HUNDREDTHS_PER_RETRY: i64 = 100;
 
-impl RetryBudget {
+impl PartnerRetryBudget {
     /// Creates a full budget that each arrival fills by `percent` of a retry, up to `burst` retries.
     pub fn new(percent: u64, burst: u64) -> Self {
         let burst_hundredths = to_hundredths(burst);
--- a/crates/core/src/sched/scheduler.rs
+++ b/crates/core/src/sched/scheduler.rs
@@ -15,13 +15,13 @@
 use super::directory::{Directory, ServerIndex, StatusUpdate};
 use super::events::{Action, Arrival, Event};
 use super::request::{Hold, Request, Stage};
-use super::retry::RetryBudget;
+use super::retry::PartnerRetryBudget;
 use super::settings::SchedulerSettings;
 
 #[derive(Debug)]
 pub(super) struct Partner {
     pub(super) id: PartnerId,
-    pub(super) budget: RetryBudget,
+    pub(super) budget: PartnerRetryBudget,
     pub(super) open: usize,
     /// Average answer length by class. A class that allows 500 tokens and uses 40 must not be charged or
     /// planned for 500.
@@ -177,7 +177,7 @@
         if let Some(&index) = self.partner_names.get(id) {
             return index;
         }
-        let budget = RetryBudget::new(self.settings.retry_percent, self.settings.retry_burst);
+        let budget = PartnerRetryBudget::new(self.settings.retry_percent, self.settings.retry_burst);
         self.partners.push(Partner { id: id.clone(), budget, open: 0, answer_tokens: HashMap::new() });
         let index = self.partners.len() - 1;
         self.partner_names.insert(id.clone(), index);
--- a/crates/core/tests/relay/engines.rs
+++ b/crates/core/tests/relay/engines.rs
@@ -1,12 +1,12 @@
 //! Single decisions of the engine pool.
 
-use hibiscusvale_core::allowance::{AllowanceSettings, RETRY_COST};
 use hibiscusvale_core::ids::RequestId;
 use hibiscusvale_core::outcome::Repeatability;
 use hibiscusvale_core::relay::engines::{
     Demand, EngineAction, EngineEvent, EnginePoolSettings, EngineRefusal, EngineUsage, Growth, ListedEngine,
     PoolUsage, Role,
 };
+use hibiscusvale_core::retry_budget::{RETRY_COST, SharedRetryBudgetSettings};
 use hibiscusvale_core::sched::FailureCause;
 use hibiscusvale_core::units::{Millis, Tokens};
 use rstest::rstest;
@@ -325,7 +325,8 @@
 /// and no request is refused.
 #[test]
 fn refused_prefills_are_charged_to_the_budget() {
-    let retries = AllowanceSettings { slack_share: RETRY_COST, ..AllowanceSettings::default() };
+    let retries =
+        SharedRetryBudgetSettings { slack_share: RETRY_COST, ..SharedRetryBudgetSettings::default() };
     let mut harness = Harness::new(EnginePoolSettings { retries, ..settings() }, &ENGINES);
     let mut refusals = 0;
     for sequence in 0..100 {
--- a/crates/core/tests/allowance/lending.rs
+++ b/crates/core/tests/retry_budget/lending.rs
@@ -1,6 +1,6 @@
 //! Budget shares: together never overspent, and lent to where they are needed.
 
-use hibiscusvale_core::allowance::{Allowance, AllowanceSettings, RETRY_COST};
+use hibiscusvale_core::retry_budget::{RETRY_COST, SharedRetryBudget, SharedRetryBudgetSettings};
 use hibiscusvale_core::units::{Credit, Millis, MonoTime};
 use rstest::rstest;
 
@@ -95,17 +95,18 @@
 /// All known lenders have failed or are partitioned off. Requests must not wait for loans that cannot arrive.
 #[test]
 fn retries_are_denied_quickly_when_no_lender_answers() {
-    let settings = AllowanceSettings { slack_share: Credit(500), ..AllowanceSettings::default() };
-    let mut allowance = Allowance::new(settings, 1);
+    let settings =
+        SharedRetryBudgetSettings { slack_share: Credit(500), ..SharedRetryBudgetSettings::default() };
+    let mut retry_budget = SharedRetryBudget::new(settings, 1);
     for lender in ["entry-2", "entry-3"] {
-        allowance.update_lender(&lender.parse().unwrap(), RETRY_COST);
+        retry_budget.update_lender(&lender.parse().unwrap(), RETRY_COST);
     }
     let mut now_us = MonoTime::default() + Millis(60_000);
     let mut lenders = Vec::new();
-    while allowance.may_borrow() && lenders.len() < 9 {
-        lenders.extend(allowance.request_loan(now_us, 1).map(|request| request.lender));
+    while retry_budget.may_borrow() && lenders.len() < 9 {
+        lenders.extend(retry_budget.request_loan(now_us, 1).map(|request| request.lender));
         now_us = now_us + Millis(REQUEST_TIMEOUT_MS);
-        let _ = allowance.request_loan(now_us, 1).map(|request| lenders.push(request.lender));
+        let _ = retry_budget.request_loan(now_us, 1).map(|request| lenders.push(request.lender));
     }
     lenders.sort();
     lenders.dedup();
@@ -117,9 +118,11 @@
 /// share at each start would multiply the budget by the number of restarts.
 #[test]
 fn a_restart_does_not_renew_the_slack_share() {
-    let settings =
-        AllowanceSettings { slack_share: Credit(4 * RETRY_COST.0), ..AllowanceSettings::default() };
-    let allowance = Allowance::new(settings, 1);
-    assert!(!allowance.can_afford(MonoTime::default() + Millis(9_999), 1));
-    assert!(allowance.can_afford(MonoTime::default() + Millis(11_000), 1));
+    let settings = SharedRetryBudgetSettings {
+        slack_share: Credit(4 * RETRY_COST.0),
+        ..SharedRetryBudgetSettings::default()
+    };
+    let retry_budget = SharedRetryBudget::new(settings, 1);
+    assert!(!retry_budget.can_afford(MonoTime::default() + Millis(9_999), 1));
+    assert!(retry_budget.can_afford(MonoTime::default() + Millis(11_000), 1));
 }
--- a/crates/core/tests/allowance/simulation.rs
+++ b/crates/core/tests/retry_budget/simulation.rs
@@ -3,10 +3,10 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use hibiscusvale_core::allowance::{
-    Allowance, AllowanceSettings, LENDER_TIMEOUT_MS, LOAN_TIMEOUT_MS, LoanRequest, RETRY_COST,
-};
 use hibiscusvale_core::ids::HostId;
+use hibiscusvale_core::retry_budget::{
+    LENDER_TIMEOUT_MS, LOAN_TIMEOUT_MS, LoanRequest, RETRY_COST, SharedRetryBudget, SharedRetryBudgetSettings,
+};
 use hibiscusvale_core::units::{Credit, Millis, MonoTime};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -50,7 +50,7 @@
 
 struct Daemon {
     host: HostId,
-    allowance: Allowance,
+    retry_budget: SharedRetryBudget,
     started_ms: u64,
     incarnation: u32,
     next_announce_ms: u64,
@@ -64,7 +64,7 @@
 
 pub struct Simulation {
     daemons: Vec<Daemon>,
-    settings: AllowanceSettings,
+    settings: SharedRetryBudgetSettings,
     faults: Faults,
     rng: StdRng,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
@@ -81,11 +81,14 @@
 impl Simulation {
     pub fn new(daemons: usize, slack: f64, faults: Faults, seed: u64, end_ms: u64) -> Self {
         let slack_share = Credit((slack * RETRY_COST.0 as f64 / daemons as f64) as u64);
-        let settings =
-            AllowanceSettings { credit_per_request: Credit(200), slack_share, window_ms: Millis(WINDOW_MS) };
+        let settings = SharedRetryBudgetSettings {
+            credit_per_request: Credit(200),
+            slack_share,
+            window_ms: Millis(WINDOW_MS),
+        };
         let daemon = |number: usize| Daemon {
             host: host(number),
-            allowance: Allowance::new(settings, number as u64),
+            retry_budget: SharedRetryBudget::new(settings, number as u64),
             started_ms: 0,
             incarnation: 0,
             next_announce_ms: 0,
@@ -151,18 +154,18 @@
         match event {
             Event::Request(daemon) => {
                 self.requests_ms.push(at_ms);
-                self.daemons[daemon].allowance.deposit();
+                self.daemons[daemon].retry_budget.deposit();
             }
             Event::Retry { daemon, deadline_ms } => self.retry(at_ms, daemon, deadline_ms),
             Event::Announce(daemon) => self.announce(at_ms, daemon),
             Event::Announced { daemon, from, lendable } => {
-                self.daemons[daemon].allowance.update_lender(&host(from), lendable);
+                self.daemons[daemon].retry_budget.update_lender(&host(from), lendable);
             }
             Event::LoanRequested { lender, borrower, incarnation, request } => {
-                let Daemon { allowance, started_ms, .. } = &mut self.daemons[lender];
+                let Daemon { retry_budget, started_ms, .. } = &mut self.daemons[lender];
                 let now_us = MonoTime::default() + Millis(at_ms - *started_ms);
-                let credit = allowance.lend(now_us, request.credit);
-                let lendable = allowance.lendable(now_us);
+                let credit = retry_budget.lend(now_us, request.credit);
+                let lendable = retry_budget.lendable(now_us);
                 let answer =
                     Event::LoanReceived { borrower, incarnation, number: request.number, credit, lendable };
                 self.send(at_ms, lender, borrower, answer);
@@ -171,12 +174,12 @@
             Event::LoanReceived { borrower, incarnation, number, credit, lendable } => {
                 let now_us = self.daemons[borrower].clock(at_ms);
                 if self.daemons[borrower].incarnation == incarnation {
-                    self.daemons[borrower].allowance.receive(now_us, number, credit, lendable);
+                    self.daemons[borrower].retry_budget.receive(now_us, number, credit, lendable);
                 }
             }
             Event::RestartAll => {
                 for (number, daemon) in self.daemons.iter_mut().enumerate() {
-                    daemon.allowance = Allowance::new(self.settings, number as u64);
+                    daemon.retry_budget = SharedRetryBudget::new(self.settings, number as u64);
                     (daemon.started_ms, daemon.incarnation) = (at_ms, daemon.incarnation + 1);
                 }
             }
@@ -185,14 +188,14 @@
 
     fn retry(&mut self, at_ms: u64, daemon: usize, deadline_ms: u64) {
         let now_us = self.daemons[daemon].clock(at_ms);
-        let Daemon { allowance, incarnation, .. } = &mut self.daemons[daemon];
+        let Daemon { retry_budget, incarnation, .. } = &mut self.daemons[daemon];
         let incarnation = *incarnation;
-        if allowance.try_withdraw(now_us) {
+        if retry_budget.try_withdraw(now_us) {
             self.retries_ms.push(at_ms);
             self.announce_soon(at_ms, daemon);
             return;
         }
-        if let Some(request) = allowance.request_loan(now_us, 1) {
+        if let Some(request) = retry_budget.request_loan(now_us, 1) {
             let lender = self.daemons.iter().position(|known| known.host == request.lender).unwrap();
             self.send(
                 at_ms,
@@ -201,7 +204,7 @@
                 Event::LoanRequested { lender, borrower: daemon, incarnation, request },
             );
         }
-        if at_ms < deadline_ms && self.daemons[daemon].allowance.may_borrow() {
+        if at_ms < deadline_ms && self.daemons[daemon].retry_budget.may_borrow() {
             let next_ms = (at_ms + 3).min(deadline_ms);
             self.schedule(next_ms.max(at_ms + 1), Event::Retry { daemon, deadline_ms });
             return;
@@ -212,7 +215,7 @@
 
     /// Credit that all daemons together have unused.
     fn unused(&self, at_ms: u64) -> Credit {
-        let lendable = |daemon: &Daemon| daemon.allowance.lendable(daemon.clock(at_ms));
+        let lendable = |daemon: &Daemon| daemon.retry_budget.lendable(daemon.clock(at_ms));
         self.daemons.iter().fold(Credit::ZERO, |sum, daemon| sum + lendable(daemon))
     }
 
@@ -234,7 +237,7 @@
             return;
         }
         let daemon = &self.daemons[from];
-        let lendable = daemon.allowance.lendable(daemon.clock(at_ms));
+        let lendable = daemon.retry_budget.lendable(daemon.clock(at_ms));
         for daemon in 0..self.daemons.len() {
             if daemon != from {
                 self.send(at_ms, from, daemon, Event::Announced { daemon, from, lendable });
--- a/crates/core/tests/sched/affinity.rs
+++ b/crates/core/tests/sched/affinity.rs
@@ -1,6 +1,6 @@
 //! Tests of the prefix affinity index and the retry budget.
 
-use hibiscusvale_core::sched::{AffinityIndex, CacheEvent, CacheEventKind, RetryBudget};
+use hibiscusvale_core::sched::{AffinityIndex, CacheEvent, CacheEventKind, PartnerRetryBudget};
 
 fn stored(seq: u64, block: u64) -> CacheEvent {
     CacheEvent { seq, kind: CacheEventKind::Stored, block }
@@ -41,7 +41,7 @@
 // When every request fails, retries stop once the budget is spent and resume only with new arrivals.
 #[test]
 fn arrivals_fund_retries() {
-    let mut budget = RetryBudget::new(10, 3);
+    let mut budget = PartnerRetryBudget::new(10, 3);
     let withdrawn = std::iter::from_fn(|| budget.withdraw().then_some(())).count();
     assert_eq!(withdrawn, 3);
     (0..9).for_each(|_| budget.deposit());
--- a/crates/core/tests/sched/plain.rs
+++ b/crates/core/tests/sched/plain.rs
@@ -3,8 +3,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use hibiscusvale_core::allowance::AllowanceSettings;
 use hibiscusvale_core::ids::{Incarnation, RequestId};
+use hibiscusvale_core::retry_budget::SharedRetryBudgetSettings;
 use hibiscusvale_core::sched::{
     FailureCause, PlainAction, PlainArrival, PlainEvent, PlainInstance, PlainRefusal, PlainScheduler,
     PlainSettings,
@@ -220,8 +220,8 @@
 // also holds when no retry credit is left.
 #[rstest]
 #[case::own_budget(None)]
-#[case::shared_allowance_exhausted(Some(AllowanceSettings { credit_per_request: Credit(0), slack_share: Credit(0), ..Default::default() }))]
-fn partitioned_daemon_uses_the_reachable_instance(#[case] shared_retries: Option<AllowanceSettings>) {
+#[case::shared_budget_exhausted(Some(SharedRetryBudgetSettings { credit_per_request: Credit(0), slack_share: Credit(0), ..Default::default() }))]
+fn partitioned_daemon_uses_the_reachable_instance(#[case] shared_retries: Option<SharedRetryBudgetSettings>) {
     let kinds = [Kind::Unreachable, Kind::Unreachable, Kind::Good, Kind::Unreachable];
     let mut service =
         FakeService::with_settings(PlainSettings { shared_retries, ..PlainSettings::default() }, &kinds);
--- a/crates/router/src/dispatch/loan_request.rs
+++ b/crates/router/src/dispatch/loan_request.rs
@@ -1,6 +1,6 @@
 //! Requests by the schedulers for loans of retry credit from other daemons.
 
-use hibiscusvale_core::allowance::LoanRequest;
+use hibiscusvale_core::retry_budget::LoanRequest;
 use hibiscusvale_core::units::Credit;
 use tokio::sync::mpsc;
 
@@ -13,7 +13,7 @@
     pub loan: LoanRequest,
 }
 
-/// Sender of loan requests; drops them for schedulers that do not share an allowance.
+/// Sender of loan requests; drops them for schedulers that do not share a retry budget.
 #[derive(Clone, Debug, Default)]
 pub struct LoanRequestSender(Option<mpsc::UnboundedSender<ServiceLoanRequest>>);
 
--- a/crates/router/src/dispatch/plain_hub.rs
+++ b/crates/router/src/dispatch/plain_hub.rs
@@ -144,7 +144,7 @@
         let now_us = clock::now();
         let mut services = self.services.lock();
         let spares = services.iter_mut().filter_map(|(name, service)| {
-            let spare = service.scheduler.allowance()?.lendable(now_us);
+            let spare = service.scheduler.retry_budget()?.lendable(now_us);
             (spare > Credit::ZERO).then(|| (name.clone(), spare))
         });
         spares.collect()
@@ -153,8 +153,8 @@
     /// Records the credit that another daemon can lend.
     pub fn receive_spares(&self, host: &HostId, spares: &[(String, Credit)]) {
         for (name, service) in self.services.lock().iter_mut() {
-            if let Some(allowance) = service.scheduler.allowance() {
-                allowance.update_lender(host, spare_credit(spares, name));
+            if let Some(retry_budget) = service.scheduler.retry_budget() {
+                retry_budget.update_lender(host, spare_credit(spares, name));
             }
         }
     }
@@ -164,8 +164,8 @@
     pub fn lend(&self, name: &str, wants: Credit) -> Option<(Credit, Credit)> {
         let now_us = clock::now();
         let mut services = self.services.lock();
-        let allowance = services.get_mut(name)?.scheduler.allowance()?;
-        Some((allowance.lend(now_us, wants), allowance.lendable(now_us)))
+        let retry_budget = services.get_mut(name)?.scheduler.retry_budget()?;
+        Some((retry_budget.lend(now_us, wants), retry_budget.lendable(now_us)))
     }
 
     /// Passes another daemon's answer to a loan request to the scheduler of the service.
--- a/crates/router/src/relay/budget.rs
+++ b/crates/router/src/relay/budget.rs
@@ -1,12 +1,12 @@
 //! This daemon's share of the retry budget that all daemons have together.
 //!
-//! Spending and lending are described in [`hibiscusvale_core::allowance`]. The budget is divided by all
+//! Spending and lending are described in [`hibiscusvale_core::retry_budget`]. The budget is divided by all
 //! daemons that ever registered, not only those currently reachable: a partitioned daemon keeps spending its
 //! share.
 
-use hibiscusvale_core::allowance::{AllowanceSettings, RETRY_COST};
 use hibiscusvale_core::relay::engines::EnginePoolSettings;
 use hibiscusvale_core::relay::recipients::BroadcastScope;
+use hibiscusvale_core::retry_budget::{RETRY_COST, SharedRetryBudgetSettings};
 use hibiscusvale_core::sched::{InstanceSettings, PlainSettings};
 use hibiscusvale_core::units::{Credit, Millis};
 
@@ -32,7 +32,7 @@
 /// Scheduler settings of plain services.
 pub fn plain(bounds: &BoundSettings, daemons: u64) -> PlainSettings {
     PlainSettings {
-        shared_retries: Some(allowance(bounds, daemons)),
+        shared_retries: Some(retry_budget_settings(bounds, daemons)),
         instance: INSTANCE_SETTINGS,
         ..PlainSettings::default()
     }
@@ -41,7 +41,7 @@
 /// Settings of the engine pools.
 pub fn engines(bounds: &BoundSettings, daemons: u64, reach: BroadcastScope) -> EnginePoolSettings {
     EnginePoolSettings {
-        retries: allowance(bounds, daemons),
+        retries: retry_budget_settings(bounds, daemons),
         instance: INSTANCE_SETTINGS,
         prefer_local: reach == BroadcastScope::DataCentre,
         ..EnginePoolSettings::default()
@@ -68,8 +68,8 @@
 
 /// This daemon's share, in fractional credit: in whole retries each of several hundred daemons would get none
 /// or one.
-fn allowance(bounds: &BoundSettings, daemons: u64) -> AllowanceSettings {
-    AllowanceSettings {
+fn retry_budget_settings(bounds: &BoundSettings, daemons: u64) -> SharedRetryBudgetSettings {
+    SharedRetryBudgetSettings {
         credit_per_request: credit(bounds.retry_ratio),
         slack_share: credit(bounds.retry_slack * DISTRIBUTED_FRACTION / daemons.max(1) as f64),
         window_ms: Millis(u64::try_from(bounds.retry_window().as_millis()).unwrap_or(u64::MAX)),
--- a/crates/router/src/relay/engine_hub.rs
+++ b/crates/router/src/relay/engine_hub.rs
@@ -247,14 +247,14 @@
         let mut services = self.services.lock();
         let spares = services
             .iter_mut()
-            .map(|(name, service)| (name.clone(), service.pool.allowance().lendable(now_us)));
+            .map(|(name, service)| (name.clone(), service.pool.retry_budget().lendable(now_us)));
         spares.filter(|(_, spare)| *spare > Credit::ZERO).collect()
     }
 
     /// Updates the spare credit of another daemon.
     pub fn receive_spares(&self, host: &HostId, spares: &[(String, Credit)]) {
         for (name, service) in self.services.lock().iter_mut() {
-            service.pool.allowance().update_lender(host, spare_credit(spares, name));
+            service.pool.retry_budget().update_lender(host, spare_credit(spares, name));
         }
     }
 
@@ -263,8 +263,8 @@
     pub fn lend(&self, name: &str, requested: Credit) -> Option<(Credit, Credit)> {
         let now_us = clock::now();
         let mut services = self.services.lock();
-        let allowance = services.get_mut(name)?.pool.allowance();
-        Some((allowance.lend(now_us, requested), allowance.lendable(now_us)))
+        let retry_budget = services.get_mut(name)?.pool.retry_budget();
+        Some((retry_budget.lend(now_us, requested), retry_budget.lendable(now_us)))
     }
 
     /// Records another daemon's reply to a loan request.
