--- a/crates/core/src/relay/engines/events.rs
+++ b/crates/core/src/relay/engines/events.rs
@@ -198,7 +198,7 @@
         /// Credit lent.
         credit: Credit,
         /// Credit that the lender has left.
-        spare: Credit,
+        lendable: Credit,
     },
     /// Time passed.
     Tick,
--- a/crates/router/src/dispatch/loan_request.rs
+++ b/crates/router/src/dispatch/loan_request.rs
@@ -34,6 +34,6 @@
 }
 
 /// The credit listed for a service, or zero if it is not listed.
-pub(crate) fn spare_credit(credits: &[(String, Credit)], service: &str) -> Credit {
+pub(crate) fn credit_of(credits: &[(String, Credit)], service: &str) -> Credit {
     credits.iter().find(|(name, _)| name == service).map_or(Credit::ZERO, |(_, credit)| *credit)
 }
--- a/crates/router/src/dispatch/plain_hub.rs
+++ b/crates/router/src/dispatch/plain_hub.rs
@@ -12,7 +12,7 @@
 use parking_lot::Mutex;
 use tokio::sync::mpsc;
 
-use super::loan_request::{LoanRequestSender, spare_credit};
+use super::loan_request::{LoanRequestSender, credit_of};
 use super::wake_timer::WakeTimer;
 use crate::clock;
 use crate::directory::{BackendKind, Listing};
@@ -140,26 +140,26 @@
     }
 
     /// Retry credit that this daemon can lend, by service; services without any are left out.
-    pub fn spares(&self) -> Vec<(String, Credit)> {
+    pub fn lendable(&self) -> Vec<(String, Credit)> {
         let now_us = clock::now();
         let mut services = self.services.lock();
-        let spares = services.iter_mut().filter_map(|(name, service)| {
-            let spare = service.scheduler.retry_budget()?.lendable(now_us);
-            (spare > Credit::ZERO).then(|| (name.clone(), spare))
+        let lendable = services.iter_mut().filter_map(|(name, service)| {
+            let lendable = service.scheduler.retry_budget()?.lendable(now_us);
+            (lendable > Credit::ZERO).then(|| (name.clone(), lendable))
         });
-        spares.collect()
+        lendable.collect()
     }
 
     /// Records the credit that another daemon can lend.
-    pub fn receive_spares(&self, host: &HostId, spares: &[(String, Credit)]) {
+    pub fn update_lender(&self, host: &HostId, lendable: &[(String, Credit)]) {
         for (name, service) in self.services.lock().iter_mut() {
             if let Some(retry_budget) = service.scheduler.retry_budget() {
-                retry_budget.update_lender(host, spare_credit(spares, name));
+                retry_budget.update_lender(host, credit_of(lendable, name));
             }
         }
     }
 
-    /// Lends credit to another daemon; returns the amount lent and the spare credit left, or `None` when
+    /// Lends credit to another daemon; returns the amount lent and the lendable credit left, or `None` when
     /// there is no such service.
     pub fn lend(&self, name: &str, wants: Credit) -> Option<(Credit, Credit)> {
         let now_us = clock::now();
@@ -169,8 +169,8 @@
     }
 
     /// Passes another daemon's answer to a loan request to the scheduler of the service.
-    pub fn lent(&self, name: &str, number: u64, credit: Credit, spare: Credit) {
-        self.feed(name, PlainEvent::Lent { number, credit, spare });
+    pub fn lent(&self, name: &str, number: u64, credit: Credit, lendable: Credit) {
+        self.feed(name, PlainEvent::Lent { number, credit, lendable });
     }
 
     fn feed_all(&self, event: &PlainEvent) {
--- a/crates/router/src/relay/engine_hub.rs
+++ b/crates/router/src/relay/engine_hub.rs
@@ -20,7 +20,7 @@
 use crate::clock;
 use crate::directory::{BackendKind, Listing};
 use crate::dispatch::LoanRequestSender;
-use crate::dispatch::loan_request::spare_credit;
+use crate::dispatch::loan_request::credit_of;
 use crate::dispatch::wake_timer::WakeTimer;
 use crate::external::{EngineRole, ListedState};
 use crate::settings::HostSettings;
@@ -241,25 +241,25 @@
         self.feed_all(&EngineEvent::Limited { server: server.clone(), reached });
     }
 
-    /// Spare retry credit that this daemon can lend, by service.
-    pub fn spares(&self) -> Vec<(String, Credit)> {
+    /// Retry credit that this daemon can lend, by service.
+    pub fn lendable(&self) -> Vec<(String, Credit)> {
         let now_us = clock::now();
         let mut services = self.services.lock();
-        let spares = services
+        let lendable = services
             .iter_mut()
             .map(|(name, service)| (name.clone(), service.pool.retry_budget().lendable(now_us)));
-        spares.filter(|(_, spare)| *spare > Credit::ZERO).collect()
+        lendable.filter(|(_, lendable)| *lendable > Credit::ZERO).collect()
     }
 
-    /// Updates the spare credit of another daemon.
-    pub fn receive_spares(&self, host: &HostId, spares: &[(String, Credit)]) {
+    /// Updates the lendable credit of another daemon.
+    pub fn update_lender(&self, host: &HostId, lendable: &[(String, Credit)]) {
         for (name, service) in self.services.lock().iter_mut() {
-            service.pool.retry_budget().update_lender(host, spare_credit(spares, name));
+            service.pool.retry_budget().update_lender(host, credit_of(lendable, name));
         }
     }
 
-    /// Lends to another daemon; returns the amount lent and the spare credit left, or `None` when there is no
-    /// such service.
+    /// Lends to another daemon; returns the amount lent and the lendable credit left, or `None` when there is
+    /// no such service.
     pub fn lend(&self, name: &str, requested: Credit) -> Option<(Credit, Credit)> {
         let now_us = clock::now();
         let mut services = self.services.lock();
@@ -268,8 +268,8 @@
     }
 
     /// Records another daemon's reply to a loan request.
-    pub fn lent(&self, name: &str, number: u64, credit: Credit, spare: Credit) {
-        self.feed(name, EngineEvent::Lent { number, credit, spare });
+    pub fn lent(&self, name: &str, number: u64, credit: Credit, lendable: Credit) {
+        self.feed(name, EngineEvent::Lent { number, credit, lendable });
     }
 
     /// Counters of the pools.
--- a/crates/router/src/relay/exchange.rs
+++ b/crates/router/src/relay/exchange.rs
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 use super::interfaces::{DaemonEntry, Register};
-use super::loans::{self, Spares};
+use super::loans::{self, LendableCredits};
 use super::message::{AdvertisedState, Datagram, MESSAGE_LIMIT_BYTES, Message};
 use super::pacing::{Urgency, receive_pause};
 use super::peers::Reception;
@@ -165,8 +165,8 @@
         state.peers.next_message(last).await;
         last = Instant::now();
         sequence += 1;
-        let (holdings, spares) =
-            advertised.delta(sequence, state.engine_hub.holdings(), loans::spares(state));
+        let (holdings, lendable) =
+            advertised.delta(sequence, state.engine_hub.holdings(), loans::lendable(state));
         let message = Message {
             host: host.clone(),
             data_centre: state.peers.data_centre().clone(),
@@ -176,7 +176,7 @@
             reaches_store: state.freshness.reaches_store(clock::now()),
             changes: state.server_changes.next_batch(),
             holdings,
-            spares,
+            lendable,
             crashes: state.quarantine.gossip(state),
             limits: state.limits.gossip(),
         };
@@ -189,7 +189,7 @@
         }
         for silent in state.peers.take_timed_out(Instant::now()) {
             state.log.state_changed("daemon silent", &silent);
-            loans::receive_spares(&silent, &Spares::new(), state);
+            loans::update_lender(&silent, &LendableCredits::new(), state);
             state.engine_hub.peer_gone(&silent);
         }
     }
@@ -263,8 +263,8 @@
     // Before the stamp is evaluated: with the changes applied this daemon is as current as the sender.
     watch::adopt_changes(state, message.changes);
     state.freshness.receive_stamp(clock::now(), state.table.load().version(), message.stamp, from);
-    if let Some(spares) = message.spares {
-        loans::receive_spares(&message.host, &spares, state);
+    if let Some(lendable) = message.lendable {
+        loans::update_lender(&message.host, &lendable, state);
     }
     state.engine_hub.peer(&message.host, message.holdings);
     state.limits.merge(state, &message.limits);
--- a/crates/router/src/relay/loans.rs
+++ b/crates/router/src/relay/loans.rs
@@ -33,12 +33,12 @@
     service: String,
     number: u64,
     credit: Credit,
-    /// Spare credit that the lender has left.
-    spare: Credit,
+    /// Lendable credit that the lender has left.
+    lendable: Credit,
 }
 
-/// Spare credit that a daemon can lend, by service.
-pub type Spares = Vec<(String, Credit)>;
+/// Credit that a daemon can lend, by service.
+pub type LendableCredits = Vec<(String, Credit)>;
 
 /// Sends the schedulers' loan requests, for as long as the daemon runs.
 pub async fn send_requests(
@@ -65,12 +65,12 @@
 ) {
     let LoanRequest { incarnation, service, number, credit } = request;
     let lent = state.engine_hub.lend(&service, credit).or_else(|| state.plain_hub.lend(&service, credit));
-    let Some((credit, spare)) = lent else {
+    let Some((credit, lendable)) = lent else {
         return;
     };
-    let reply = LoanReply { incarnation, service, number, credit, spare };
+    let reply = LoanReply { incarnation, service, number, credit, lendable };
     send(socket, requester, &Datagram::LoanReply(reply)).await;
-    // Announces the reduced spare credit: under heavy retries others would otherwise keep asking a daemon
+    // Announces the reduced lendable credit: under heavy retries others would otherwise keep asking a daemon
     // that has lent everything.
     state.peers.schedule_message(Urgency::Later);
 }
@@ -78,21 +78,21 @@
 /// Adds a loan to the local credit.
 pub fn handle_reply(reply: &LoanReply, state: &RelayState) {
     if reply.incarnation == state.incarnation {
-        let LoanReply { service, number, credit, spare, .. } = reply;
-        state.engine_hub.lent(service, *number, *credit, *spare);
-        state.plain_hub.lent(service, *number, *credit, *spare);
+        let LoanReply { service, number, credit, lendable, .. } = reply;
+        state.engine_hub.lent(service, *number, *credit, *lendable);
+        state.plain_hub.lent(service, *number, *credit, *lendable);
     }
 }
 
-/// Spare credit that this daemon can lend.
-pub fn spares(state: &RelayState) -> Spares {
-    let mut spares = state.engine_hub.spares();
-    spares.extend(state.plain_hub.spares());
-    spares
+/// Credit that this daemon can lend.
+pub fn lendable(state: &RelayState) -> LendableCredits {
+    let mut lendable = state.engine_hub.lendable();
+    lendable.extend(state.plain_hub.lendable());
+    lendable
 }
 
-/// Records the spare credit of another daemon.
-pub fn receive_spares(host: &HostId, spares: &Spares, state: &RelayState) {
-    state.engine_hub.receive_spares(host, spares);
-    state.plain_hub.receive_spares(host, spares);
+/// Records the lendable credit of another daemon.
+pub fn update_lender(host: &HostId, lendable: &LendableCredits, state: &RelayState) {
+    state.engine_hub.update_lender(host, lendable);
+    state.plain_hub.update_lender(host, lendable);
 }
--- a/crates/router/src/relay/message.rs
+++ b/crates/router/src/relay/message.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::freshness::Stamp;
-use super::loans::{LoanReply, LoanRequest, Spares};
+use super::loans::{LendableCredits, LoanReply, LoanRequest};
 use super::quotas::{QuotaReply, QuotaRequest, QuotaReturn};
 use super::server_changes::ServerChange;
 
@@ -61,8 +61,8 @@
     pub changes: Vec<ServerChange>,
     /// What it holds at the engines, by service.
     pub holdings: Vec<(String, PoolUsage)>,
-    /// Its spare retry credit, by service; `None` if unchanged since its previous message.
-    pub spares: Option<Spares>,
+    /// Its lendable retry credit, by service; `None` if unchanged since its previous message.
+    pub lendable: Option<LendableCredits>,
     /// Evidence of requests that crash servers.
     pub crashes: Gossip,
     /// Server limits that changed.
@@ -76,18 +76,18 @@
 #[derive(Debug, Default)]
 pub struct AdvertisedState {
     seen: HashMap<String, WorkloadStats>,
-    spares: Spares,
+    lendable: LendableCredits,
 }
 
 impl AdvertisedState {
-    /// The holdings and spare credit for message number `sequence`. Among hundreds of daemons most messages
+    /// The holdings and lendable credit for message number `sequence`. Among hundreds of daemons most messages
     /// only serve as heartbeats; what has not changed since the previous message is left out of them.
     pub fn delta(
         &mut self,
         sequence: u64,
         mut holdings: Vec<(String, PoolUsage)>,
-        spares: Spares,
-    ) -> (Vec<(String, PoolUsage)>, Option<Spares>) {
+        lendable: LendableCredits,
+    ) -> (Vec<(String, PoolUsage)>, Option<LendableCredits>) {
         let is_full = sequence % FULL_MESSAGE_INTERVAL == 1;
         for (service, holdings) in &mut holdings {
             let seen = holdings.stats.unwrap_or_default();
@@ -95,8 +95,8 @@
                 holdings.stats = None;
             }
         }
-        let is_changed = is_full || spares != self.spares;
-        self.spares.clone_from(&spares);
-        (holdings, is_changed.then_some(spares))
+        let is_changed = is_full || lendable != self.lendable;
+        self.lendable.clone_from(&lendable);
+        (holdings, is_changed.then_some(lendable))
     }
 }
