--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -1,7 +1,7 @@
 //! The control plane of a daemon: its services, their inboxes, and the thread they share.
 //!
-//! Control state lives on a dedicated thread, so that traffic bursts do not delay heartbeats and the services need
-//! no locks among themselves.
+//! Control state lives on a dedicated thread, so that traffic bursts do not delay heartbeats and the services
+//! need no locks among themselves.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, OnceLock};
@@ -22,7 +22,7 @@
 use crate::config::{ConfigHandle, ConfigParts, ConfigService, publisher_keys};
 use crate::daemon::{ExternalSystems, StartError};
 use crate::directory::Directory;
-use crate::dispatch::{Hub, PlainHub};
+use crate::dispatch::{LanguageScheduler, PlainSchedulers};
 use crate::inbound;
 use crate::leases::{LeaseParts, LeaseService};
 use crate::listing_service::{ListingParts, ListingRequest, ListingService};
@@ -62,11 +62,11 @@
 
 /// The schedulers. They are created after the control services that they depend on.
 #[derive(Debug)]
-pub struct Hubs {
+pub struct SharedSchedulers {
     /// Scheduler of language requests.
-    pub language: Arc<Hub>,
+    pub language: Arc<LanguageScheduler>,
     /// Scheduler of requests to plain services.
-    pub plain: Arc<PlainHub>,
+    pub plain: Arc<PlainSchedulers>,
 }
 
 /// Handles to the control services.
@@ -95,7 +95,7 @@
     pub services: Services,
     stop: CancellationToken,
     runtime: Runtime,
-    hubs: Arc<OnceLock<Hubs>>,
+    schedulers: Arc<OnceLock<SharedSchedulers>>,
 }
 
 impl Control {
@@ -108,9 +108,9 @@
         let ControlParts { settings, external, incarnation, directory, metrics, logging } = parts;
         let runtime = Builder::new_current_thread().enable_all().build().map_err(StartError::Thread)?;
         let registry = ServiceRegistry::default();
-        let hubs = Arc::new(OnceLock::new());
+        let schedulers = Arc::new(OnceLock::new());
         let stop = CancellationToken::new();
-        let inbound = inbound::service_dispatcher(registry.clone(), Arc::clone(&hubs));
+        let inbound = inbound::service_dispatcher(registry.clone(), Arc::clone(&schedulers));
         let link_settings =
             LinkSettings::new(settings.host.id.clone(), settings.listen.peers, settings.peers.key.into());
         let link = NngLink::start(link_settings, incarnation, inbound)?;
@@ -158,7 +158,7 @@
         tokio::spawn(forward_listed_hosts(registry.find(ServiceName::Membership)?, Arc::clone(directory)));
         drop(entered);
         let services = Services { registry, link, members, spread, config, claims, usage };
-        Ok(Self { services, stop, runtime, hubs })
+        Ok(Self { services, stop, runtime, schedulers })
     }
 
     /// Starts the watcher service and runs all control services on the control thread.
@@ -167,14 +167,17 @@
     ///
     /// [`StartError`] if the thread cannot be started.
     pub fn run(self, parts: WatcherParts) -> Result<RunningControl, StartError> {
-        let Self { services, stop, runtime, hubs } = self;
+        let Self { services, stop, runtime, schedulers } = self;
         let inbox = services.registry.register::<WatcherCommand>(ServiceName::Watcher)?;
-        let _ = hubs.set(Hubs { language: Arc::clone(&parts.hub), plain: Arc::clone(&parts.plain_hub) });
+        let _ = schedulers.set(SharedSchedulers {
+            language: Arc::clone(&parts.language_scheduler),
+            plain: Arc::clone(&parts.plain_schedulers),
+        });
         let directory = Arc::clone(&parts.directory);
         let (ready, is_ready) = watch::channel(false);
         runtime.spawn(WatcherService::run(parts, inbox, services.members.changes.clone(), ready));
         let view = Arc::clone(&services.spread.view);
-        runtime.spawn(server_status::follow(services.registry.clone(), view, directory, hubs));
+        runtime.spawn(server_status::follow(services.registry.clone(), view, directory, schedulers));
         let stopped = stop.clone();
         let handle = runtime.handle().clone();
         let thread = std::thread::Builder::new()
@@ -309,8 +312,8 @@
     }
 }
 
-/// Forwards the live hosts to the claims service, which chooses the preferred appender of each key partition from
-/// them.
+/// Forwards the live hosts to the claims service, which chooses the preferred appender of each key partition
+/// from them.
 async fn forward_members(inbox: mpsc::Sender<ClaimsCommand>, mut members: MembershipHandle) {
     loop {
         let hosts = {
--- a/crates/router/src/daemon.rs
+++ b/crates/router/src/daemon.rs
@@ -1,8 +1,8 @@
 //! Startup and shutdown of a daemon.
 //!
-//! Startup order: clients of external systems, control services, listeners. Shutdown order: readiness fails first
-//! so that the load balancer stops sending traffic, then the listener closes and open streams finish, then the
-//! control services stop.
+//! Startup order: clients of external systems, control services, listeners. Shutdown order: readiness fails
+//! first so that the load balancer stops sending traffic, then the listener closes and open streams finish,
+//! then the control services stop.
 
 use std::io;
 use std::net::SocketAddr;
@@ -27,7 +27,9 @@
 use crate::control::{Control, ControlParts, RunningControl};
 use crate::counted_log::CountedLog;
 use crate::directory::Directory;
-use crate::dispatch::{Demand, Dispatcher, Hub, LoanRequestSender, Observer, PlainHub, Releases};
+use crate::dispatch::{
+    Demand, Dispatcher, LanguageScheduler, LoanRequestSender, Observer, PlainSchedulers, Releases,
+};
 use crate::external::{HostList, HttpHostList, HttpLog, HttpLogSettings, HttpWeightStore, Log, WeightStore};
 use crate::leases::LeaseParts;
 use crate::logging::{self, LoggingError};
@@ -89,8 +91,8 @@
 }
 
 impl ExternalSystems {
-    /// Creates HTTP clients at the addresses in `settings`. Engines see `incarnation` as the owner of the memory
-    /// that this daemon allocates.
+    /// Creates HTTP clients at the addresses in `settings`. Engines see `incarnation` as the owner of the
+    /// memory that this daemon allocates.
     pub fn new(settings: &Settings, incarnation: Incarnation) -> Self {
         let http = BackendHttp::new();
         let owner = Owner { host: settings.host.id.clone(), incarnation };
@@ -166,7 +168,7 @@
             membership_counts: Arc::clone(&control.services.members.counts),
             spread_counts: Arc::clone(&control.services.spread.counts),
             directory: Arc::clone(&directory),
-            hub: Arc::clone(&schedulers.hub),
+            language_scheduler: Arc::clone(&schedulers.language_scheduler),
             tasks: tasks.clone(),
             link: Arc::clone(&control.services.link),
             metrics: observability.metrics.clone(),
@@ -195,8 +197,8 @@
             directory,
             host: settings.host.id.clone(),
             http: BackendHttp::new(),
-            hub: schedulers.hub,
-            plain_hub: schedulers.plain_hub,
+            language_scheduler: schedulers.language_scheduler,
+            plain_schedulers: schedulers.plain_schedulers,
             stall_timeout_ms: settings.limits.stall_timeout_ms,
             demand,
             claims: control.services.claims.clone(),
@@ -303,8 +305,8 @@
 /// The schedulers of this daemon.
 #[derive(Clone, Debug)]
 struct Schedulers {
-    hub: Arc<Hub>,
-    plain_hub: Arc<PlainHub>,
+    language_scheduler: Arc<LanguageScheduler>,
+    plain_schedulers: Arc<PlainSchedulers>,
 }
 
 impl Schedulers {
@@ -325,10 +327,15 @@
         };
         // The incarnation is logged, so decisions can be replayed from this seed.
         let seed = incarnation.seed();
-        let hub = Hub::new(SchedulerSettings::default(), seed, route, Arc::clone(releases));
+        let language_scheduler =
+            LanguageScheduler::new(SchedulerSettings::default(), seed, route, Arc::clone(releases));
         Self {
-            hub: Arc::new(hub),
-            plain_hub: Arc::new(PlainHub::new(PlainSettings::default(), seed, LoanRequestSender::default())),
+            language_scheduler: Arc::new(language_scheduler),
+            plain_schedulers: Arc::new(PlainSchedulers::new(
+                PlainSettings::default(),
+                seed,
+                LoanRequestSender::default(),
+            )),
         }
     }
 
@@ -348,15 +355,15 @@
             directory: Arc::clone(directory),
             engines: Arc::clone(&external.engines),
             link: Arc::<NngLink>::clone(&control.services.link),
-            hub: Arc::clone(&self.hub),
-            plain_hub: Arc::clone(&self.plain_hub),
+            language_scheduler: Arc::clone(&self.language_scheduler),
+            plain_schedulers: Arc::clone(&self.plain_schedulers),
             releases: Arc::clone(releases),
             metrics: metrics.clone(),
         }
     }
 
     async fn run_timers(self) {
-        tokio::join!(self.hub.run_timers(), self.plain_hub.run_timers());
+        tokio::join!(self.language_scheduler.run_timers(), self.plain_schedulers.run_timers());
     }
 }
 
@@ -398,8 +405,8 @@
     }
 }
 
-/// Runtime of the traffic threads. Dropping it shuts it down in the background, since a daemon may be dropped in a
-/// context where blocking is not allowed.
+/// Runtime of the traffic threads. Dropping it shuts it down in the background, since a daemon may be dropped
+/// in a context where blocking is not allowed.
 #[derive(Debug)]
 struct TrafficRuntime(Option<Runtime>);
 
--- a/crates/router/src/dispatch/language.rs
+++ b/crates/router/src/dispatch/language.rs
@@ -128,10 +128,10 @@
 
 impl RequestTask {
     async fn run(&mut self, target: LanguageTarget) -> Ended {
-        let hub = Arc::clone(&self.dispatcher.hub);
+        let language_scheduler = Arc::clone(&self.dispatcher.language_scheduler);
         let request_id = self.request.request_id;
         let (disconnect, stalled) = (self.parts.clone(), self.stalled.clone());
-        let mut steps = hub.arrive(arrival_of(&self.request, target));
+        let mut steps = language_scheduler.arrive(arrival_of(&self.request, target));
         let mut next = next_step(&mut steps, &disconnect, &stalled).await;
         while let Next::Step(action) = next {
             next = {
@@ -145,7 +145,7 @@
             };
             if let Next::Done(event) = next {
                 let finished = matches!(event, Event::Finished { .. });
-                hub.feed(event);
+                language_scheduler.feed(event);
                 next = if finished {
                     Next::Ended(Ended::Answered)
                 } else {
@@ -158,8 +158,8 @@
             Next::Left | Next::Step(_) | Next::Done(_) => Ended::Left,
         };
         // Has no effect when the scheduler has ended the request itself.
-        hub.feed(Event::CallerLeft { request_id });
-        hub.close(request_id);
+        language_scheduler.feed(Event::CallerLeft { request_id });
+        language_scheduler.close(request_id);
         ended
     }
 
@@ -226,7 +226,7 @@
                     .await
             }
             Action::Send(_) | Action::Cancel { .. } | Action::Wake { .. } => {
-                // The hub carries these out itself.
+                // The language scheduler carries these out itself.
                 std::future::pending().await
             }
         }
@@ -382,10 +382,12 @@
         let request_id = self.request.request_id;
         if self.sent_tokens == 1 {
             self.observed.first_token(now_us);
-            self.dispatcher.hub.feed(Event::FirstToken { request_id });
+            self.dispatcher.language_scheduler.feed(Event::FirstToken { request_id });
         } else if now_us >= *reported_us + PROGRESS_PERIOD_MS {
             *reported_us = now_us;
-            self.dispatcher.hub.feed(Event::Progress { request_id, tokens: Tokens(self.sent_tokens) });
+            self.dispatcher
+                .language_scheduler
+                .feed(Event::Progress { request_id, tokens: Tokens(self.sent_tokens) });
         }
     }
 
--- a/crates/router/src/dispatch/hub.rs
+++ b/crates/router/src/dispatch/language_scheduler.rs
@@ -34,7 +34,7 @@
 
 /// The scheduler and the action channels of the open requests.
 #[derive(Debug)]
-pub struct Hub {
+pub struct LanguageScheduler {
     state: Mutex<State>,
     route: SlotRoute,
     releases: Arc<Releases>,
@@ -54,8 +54,8 @@
     attempt_id: AttemptId,
 }
 
-impl Hub {
-    /// Creates a hub whose scheduler makes its random choices from `seed`.
+impl LanguageScheduler {
+    /// Creates a scheduler that makes its random choices from `seed`.
     pub fn new(settings: SchedulerSettings, seed: u64, route: SlotRoute, releases: Arc<Releases>) -> Self {
         let state =
             State { scheduler: Scheduler::new(settings, seed), open: HashMap::new(), actions: Vec::new() };
@@ -71,7 +71,7 @@
         inbox
     }
 
-    /// Removes a request that [`Hub::arrive`] added; later actions for it are dropped.
+    /// Removes a request that [`LanguageScheduler::arrive`] added; later actions for it are dropped.
     pub fn close(&self, request_id: RequestId) {
         self.state.lock().open.remove(&request_id);
     }
--- a/crates/router/src/dispatch/mod.rs
+++ b/crates/router/src/dispatch/mod.rs
@@ -4,12 +4,12 @@
 mod at_most_once;
 mod demand;
 mod forward;
-mod hub;
 mod language;
+mod language_scheduler;
 pub(crate) mod loan_request;
 mod observe;
 mod plain;
-mod plain_hub;
+mod plain_schedulers;
 mod prefix;
 mod release;
 pub(crate) mod wake_timer;
@@ -31,10 +31,10 @@
 use crate::tickets::Tickets;
 
 pub use demand::Demand;
-pub use hub::Hub;
+pub use language_scheduler::LanguageScheduler;
 pub use loan_request::{LoanRequestSender, ServiceLoanRequest};
 pub use observe::{Observed, Observer};
-pub use plain_hub::PlainHub;
+pub use plain_schedulers::PlainSchedulers;
 pub use release::Releases;
 
 /// Answer parts buffered for a slow caller. When the buffer is full the engine's stream is not read, so the
@@ -81,9 +81,9 @@
     /// Client for the caller interfaces of other daemons.
     pub http: BackendHttp,
     /// The scheduler of language requests.
-    pub hub: Arc<Hub>,
+    pub language_scheduler: Arc<LanguageScheduler>,
     /// The schedulers of plain services.
-    pub plain_hub: Arc<PlainHub>,
+    pub plain_schedulers: Arc<PlainSchedulers>,
     /// Time without reading any of its answer after which a caller counts as gone.
     pub stall_timeout_ms: Millis,
     /// Arrivals per model, for the planner that loads models.
--- a/crates/router/src/dispatch/plain.rs
+++ b/crates/router/src/dispatch/plain.rs
@@ -90,7 +90,7 @@
 ) -> Result<PlainReply, Refusal> {
     let arrival = arrival_of(request, response_ms);
     let no_route = Refusal::not_run(RefusalReason::NoRoute);
-    let mut open = dispatcher.plain_hub.arrive(&request.service, arrival).ok_or(no_route)?;
+    let mut open = dispatcher.plain_schedulers.arrive(&request.service, arrival).ok_or(no_route)?;
     let request_id = request.request_id;
     while let Some(action) = open.step().await {
         match action {
--- a/crates/router/src/dispatch/plain_hub.rs
+++ b/crates/router/src/dispatch/plain_schedulers.rs
@@ -1,5 +1,5 @@
 //! Connects the schedulers of the plain services to the tasks that carry out their decisions. There is one
-//! scheduler per service; [`super::Hub`] has the same structure.
+//! scheduler per service; [`super::LanguageScheduler`] has the same structure.
 
 use std::collections::HashMap;
 
@@ -26,7 +26,7 @@
 
 /// The schedulers by service.
 #[derive(Debug)]
-pub struct PlainHub {
+pub struct PlainSchedulers {
     services: Mutex<HashMap<String, Service>>,
     wake_timer: WakeTimer,
     settings: Mutex<PlainSettings>,
@@ -38,7 +38,7 @@
 /// ended.
 #[derive(Debug)]
 pub struct OpenCall<'a> {
-    hub: &'a PlainHub,
+    schedulers: &'a PlainSchedulers,
     service: String,
     request_id: RequestId,
     steps: mpsc::UnboundedReceiver<PlainAction>,
@@ -52,21 +52,21 @@
 
     /// Tells the scheduler the result of an attempt.
     pub fn feed(&self, event: PlainEvent) {
-        self.hub.feed(&self.service, event);
+        self.schedulers.feed(&self.service, event);
     }
 }
 
 impl Drop for OpenCall<'_> {
     fn drop(&mut self) {
-        self.hub.feed(&self.service, PlainEvent::CallerLeft { request_id: self.request_id });
-        if let Some(service) = self.hub.services.lock().get_mut(&self.service) {
+        self.schedulers.feed(&self.service, PlainEvent::CallerLeft { request_id: self.request_id });
+        if let Some(service) = self.schedulers.services.lock().get_mut(&self.service) {
             service.open.remove(&self.request_id);
         }
     }
 }
 
-impl PlainHub {
-    /// Creates a hub without services, whose schedulers make their random choices from `seed`.
+impl PlainSchedulers {
+    /// Creates a set without services, whose schedulers make their random choices from `seed`.
     pub fn new(settings: PlainSettings, seed: u64, loan_requests: LoanRequestSender) -> Self {
         Self {
             services: Mutex::default(),
@@ -83,7 +83,7 @@
         let request_id = arrival.request_id;
         self.services.lock().get_mut(service)?.open.insert(request_id, sender);
         self.feed(service, PlainEvent::Arrive(arrival));
-        Some(OpenCall { hub: self, service: service.to_owned(), request_id, steps })
+        Some(OpenCall { schedulers: self, service: service.to_owned(), request_id, steps })
     }
 
     /// Updates the instances of all services. A service stays known when its last instance leaves, so that
--- a/crates/router/src/inbound.rs
+++ b/crates/router/src/inbound.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 
 use crate::claims::ClaimsCommand;
-use crate::control::Hubs;
+use crate::control::SharedSchedulers;
 use crate::listing_service::ListingRequest;
 use crate::membership::MembershipRequest;
 use crate::peer::{Inbound, PeerBody, PeerMessage};
@@ -16,10 +16,10 @@
 use crate::watcher::WatcherCommand;
 
 /// Returns a handler that dispatches each message of the link to the inbox of its service.
-pub fn service_dispatcher(registry: ServiceRegistry, hubs: Arc<OnceLock<Hubs>>) -> Inbound {
+pub fn service_dispatcher(registry: ServiceRegistry, schedulers: Arc<OnceLock<SharedSchedulers>>) -> Inbound {
     Arc::new(move |message| {
         // Messages to a full inbox are dropped; senders that need an answer retry.
-        let _ = deliver(&registry, &hubs, message);
+        let _ = deliver(&registry, &schedulers, message);
     })
 }
 
@@ -40,7 +40,7 @@
 
 fn deliver(
     registry: &ServiceRegistry,
-    hubs: &OnceLock<Hubs>,
+    schedulers: &OnceLock<SharedSchedulers>,
     message: PeerMessage,
 ) -> Result<(), DeliverError> {
     let PeerMessage { from, incarnation, body } = message;
@@ -61,14 +61,14 @@
             registry.find(ServiceName::Watcher)?.try_send(command)?;
         }
         PeerBody::Slots(message) => {
-            if let Some(hubs) = hubs.get() {
-                hubs.language.feed(Event::Slot(message));
+            if let Some(schedulers) = schedulers.get() {
+                schedulers.language.feed(Event::Slot(message));
             }
         }
         PeerBody::Spread(message) => {
             registry.find(ServiceName::Spread)?.try_send(SpreadEvent::Message { from, message })?;
         }
-        PeerBody::Watching(servers) => register_grants(hubs, servers),
+        PeerBody::Watching(servers) => register_grants(schedulers, servers),
     }
     Ok(())
 }
@@ -76,9 +76,9 @@
 /// Registers the slots that this daemon holds with a new watcher. A registration sent when the membership view
 /// changed may have arrived before the watcher had opened its ledger; without this one, its servers would stay
 /// idle until the old grants have expired.
-fn register_grants(hubs: &OnceLock<Hubs>, servers: Vec<BackendServerId>) {
-    let Some(hubs) = hubs.get() else { return };
+fn register_grants(schedulers: &OnceLock<SharedSchedulers>, servers: Vec<BackendServerId>) {
+    let Some(schedulers) = schedulers.get() else { return };
     for server in servers {
-        hubs.language.feed(Event::WatcherChanged { server });
+        schedulers.language.feed(Event::WatcherChanged { server });
     }
 }
--- a/crates/router/src/metrics_reporter.rs
+++ b/crates/router/src/metrics_reporter.rs
@@ -14,7 +14,7 @@
 
 use crate::clock;
 use crate::directory::Directory;
-use crate::dispatch::Hub;
+use crate::dispatch::LanguageScheduler;
 use crate::metrics::{Gauge, Label, Metrics};
 use crate::peer::{LinkCounts, NngLink};
 
@@ -35,7 +35,7 @@
     /// Known backend servers.
     pub directory: Arc<Directory>,
     /// Scheduler of language requests.
-    pub hub: Arc<Hub>,
+    pub language_scheduler: Arc<LanguageScheduler>,
     /// Requests in flight.
     pub tasks: TaskTracker,
     /// Transport to the other daemons.
@@ -123,7 +123,7 @@
             interval.tick().await;
             self.set_gauges();
             link_counts = self.count_link(link_counts);
-            let now = self.hub.counters();
+            let now = self.language_scheduler.counters();
             count_scheduler(&self.metrics, &scheduler_counts, &now);
             scheduler_counts = now;
             let now = **self.membership_counts.load();
@@ -150,7 +150,7 @@
         set(Gauge::ControlMemoryBytes, usage.memory_bytes.0);
         set(Gauge::ControlSentBytesPerS, usage.sent_bytes_per_s.0);
         set(Gauge::RequestsInFlight, self.tasks.len() as u64);
-        set(Gauge::RequestsQueued, self.hub.waiting_requests() as u64);
+        set(Gauge::RequestsQueued, self.language_scheduler.waiting_requests() as u64);
         set(Gauge::HostsLive, self.members.load().all().filter(|member| member.is_eligible()).count() as u64);
         set(Gauge::BackendServersLive, live as u64);
     }
--- a/crates/router/src/relay/budget.rs
+++ b/crates/router/src/relay/budget.rs
@@ -52,9 +52,9 @@
     /// Divides the retry budget among the daemons that are registered now.
     pub fn share_budget(&self) {
         let (bounds, daemons) = (self.bounds.lock().clone(), self.peers.registered());
-        self.plain_hub.configure(plain(&bounds, daemons));
-        self.engine_hub.set_budget(engines(&bounds, daemons, self.peers.reach()));
-        self.engine_hub.configure(&self.table.load());
+        self.plain_schedulers.configure(plain(&bounds, daemons));
+        self.engine_pools.set_budget(engines(&bounds, daemons, self.peers.reach()));
+        self.engine_pools.configure(&self.table.load());
     }
 }
 
--- a/crates/router/src/relay/daemon.rs
+++ b/crates/router/src/relay/daemon.rs
@@ -18,17 +18,17 @@
 
 use super::budget::{self, ASSUMED_DAEMONS};
 use super::callers;
-use super::engine_hub::EngineHub;
+use super::engine_pools::EnginePools;
 use super::exchange;
 use super::freshness::Freshness;
 use super::interfaces::{DaemonEntry, EvidenceStore, Register, TableSource, Wire};
-use super::limits::LimitHub;
+use super::limits::StatedLimits;
 use super::metrics::RelayMetrics;
 use super::orders::Orders;
 use super::peers::Peers;
 use super::persistence;
-use super::quarantine::QuarantineHub;
-use super::quotas::QuotaHub;
+use super::quarantine::SharedQuarantine;
+use super::quotas::QuotaAccounts;
 use super::server_changes::ServerChangeLog;
 use super::settings::RelaySettings;
 use super::state::RelayState;
@@ -37,7 +37,7 @@
 use crate::backend::BackendHttp;
 use crate::daemon::StartError;
 use crate::directory::Directory;
-use crate::dispatch::{LoanRequestSender, PlainHub};
+use crate::dispatch::{LoanRequestSender, PlainSchedulers};
 use crate::external::{HostList, Log as RecordLog};
 use crate::logging::Log;
 use crate::settings::SettingsError;
@@ -104,19 +104,19 @@
         let traffic = runtime("traffic")?;
         let control = runtime("control")?;
         let (loan_sender, loan_requests) = LoanRequestSender::channel();
-        let (quotas, outgoing) = QuotaHub::new(settings.host.id.clone());
-        let (quarantine, evidence_due) = QuarantineHub::new(incarnation);
+        let (quotas, outgoing) = QuotaAccounts::new(settings.host.id.clone());
+        let (quarantine, evidence_due) = SharedQuarantine::new(incarnation);
         let state = Arc::new(RelayState {
             wire: adapters.wire,
             table: ArcSwap::from_pointee(RouteTable::default()),
             directory: Arc::new(Directory::default()),
             http: BackendHttp::with_connect_timeout(CONNECT_TIMEOUT),
-            plain_hub: PlainHub::new(
+            plain_schedulers: PlainSchedulers::new(
                 budget::plain(&settings.bounds, ASSUMED_DAEMONS),
                 incarnation.seed(),
                 loan_sender.clone(),
             ),
-            engine_hub: EngineHub::new(
+            engine_pools: EnginePools::new(
                 budget::engines(&settings.bounds, ASSUMED_DAEMONS, BroadcastScope::default()),
                 &settings.host,
                 incarnation.seed(),
@@ -128,7 +128,7 @@
             transfer_budget: Mutex::default(),
             peers: Peers::new(&settings.host, settings.listen.peers, &settings.peers.seeds),
             quotas,
-            limits: LimitHub::default(),
+            limits: StatedLimits::default(),
             quarantine,
             bounds: Mutex::new(settings.bounds.clone()),
             incarnation,
@@ -188,9 +188,9 @@
             }
         }
         let timers = Arc::clone(&state);
-        traffic.spawn(
-            async move { tokio::join!(timers.plain_hub.run_timers(), timers.engine_hub.run_timers()) },
-        );
+        traffic.spawn(async move {
+            tokio::join!(timers.plain_schedulers.run_timers(), timers.engine_pools.run_timers())
+        });
         Ok(Self { state, traffic, control, stop_listening, serving, settings, callers_address })
     }
 
--- a/crates/router/src/relay/engine_hub.rs
+++ b/crates/router/src/relay/engine_pools.rs
@@ -1,5 +1,5 @@
 //! Connects the engine pools with the tasks that execute their decisions, one pool per service;
-//! [`crate::dispatch::Hub`] has the same structure.
+//! [`crate::dispatch::LanguageScheduler`] has the same structure.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -33,9 +33,9 @@
 
 /// Engine pools by service.
 #[derive(Debug)]
-pub struct EngineHub {
+pub struct EnginePools {
     services: Mutex<HashMap<String, Service>>,
-    alarm: WakeTimer,
+    wake_timer: WakeTimer,
     settings: Mutex<EnginePoolSettings>,
     host: HostId,
     data_centre: DataCentreId,
@@ -60,13 +60,13 @@
 
     /// Passes an event to the pool without scheduling a message to the other daemons.
     pub fn feed_without_message(&self, event: EngineEvent) {
-        self.state.engine_hub.feed(&self.service, event);
+        self.state.engine_pools.feed(&self.service, event);
     }
 
     /// Passes an event to the pool and schedules a message to the other daemons.
     pub fn feed(&self, event: EngineEvent) {
         let urgency = urgency_of(&event);
-        self.state.engine_hub.feed(&self.service, event);
+        self.state.engine_pools.feed(&self.service, event);
         self.state.peers.schedule_message(urgency);
     }
 }
@@ -94,17 +94,17 @@
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        let hub = &self.state.engine_hub;
-        hub.feed(&self.service, EngineEvent::CallerLeft { request_id: self.request_id });
+        let engine_pools = &self.state.engine_pools;
+        engine_pools.feed(&self.service, EngineEvent::CallerLeft { request_id: self.request_id });
         self.state.peers.schedule_message(Urgency::Soon);
-        if let Some(service) = hub.services.lock().get_mut(&self.service) {
+        if let Some(service) = engine_pools.services.lock().get_mut(&self.service) {
             service.open.remove(&self.request_id);
         }
     }
 }
 
-impl EngineHub {
-    /// A hub without services.
+impl EnginePools {
+    /// A set without services.
     pub fn new(
         settings: EnginePoolSettings,
         host: &HostSettings,
@@ -113,7 +113,7 @@
     ) -> Self {
         Self {
             services: Mutex::default(),
-            alarm: WakeTimer::new(),
+            wake_timer: WakeTimer::new(),
             settings: Mutex::new(settings),
             host: host.id.clone(),
             data_centre: host.data_centre.clone(),
@@ -126,9 +126,9 @@
     pub fn arrive(state: &Arc<RelayState>, service: &str, demand: Demand) -> Option<OpenRequest> {
         let (sender, steps) = mpsc::unbounded_channel();
         let request_id = demand.request_id;
-        let hub = &state.engine_hub;
-        hub.services.lock().get_mut(service)?.open.insert(request_id, sender);
-        hub.feed(service, EngineEvent::Arrived(demand));
+        let engine_pools = &state.engine_pools;
+        engine_pools.services.lock().get_mut(service)?.open.insert(request_id, sender);
+        engine_pools.feed(service, EngineEvent::Arrived(demand));
         state.peers.schedule_message(Urgency::Soon);
         Some(OpenRequest { service: service.to_owned(), request_id, steps, state: Arc::clone(state) })
     }
@@ -279,7 +279,7 @@
 
     /// Runs the pools' timers for as long as the daemon runs.
     pub async fn run_timers(&self) {
-        self.alarm.run(|| self.feed_all(&EngineEvent::Tick)).await;
+        self.wake_timer.run(|| self.feed_all(&EngineEvent::Tick)).await;
     }
 
     fn feed_all(&self, event: &EngineEvent) {
@@ -298,7 +298,7 @@
         service.pool.handle(clock::now(), event, &mut actions);
         for action in actions {
             match &action {
-                EngineAction::Wake { at_us } => self.alarm.set(*at_us),
+                EngineAction::Wake { at_us } => self.wake_timer.set(*at_us),
                 EngineAction::Borrow(loan) => self.loan_requests.send(name, loan.clone()),
                 EngineAction::Reserve { request_id, .. }
                 | EngineAction::Prefill { request_id, .. }
--- a/crates/router/src/relay/exchange.rs
+++ b/crates/router/src/relay/exchange.rs
@@ -166,7 +166,7 @@
         last = Instant::now();
         sequence += 1;
         let (holdings, lendable) =
-            advertised.delta(sequence, state.engine_hub.holdings(), loans::lendable(state));
+            advertised.delta(sequence, state.engine_pools.holdings(), loans::lendable(state));
         let message = Message {
             host: host.clone(),
             data_centre: state.peers.data_centre().clone(),
@@ -190,7 +190,7 @@
         for silent in state.peers.take_timed_out(Instant::now()) {
             state.log.state_changed("daemon silent", &silent);
             loans::update_lender(&silent, &LendableCredits::new(), state);
-            state.engine_hub.peer_gone(&silent);
+            state.engine_pools.peer_gone(&silent);
         }
     }
 }
@@ -266,7 +266,7 @@
     if let Some(lendable) = message.lendable {
         loans::update_lender(&message.host, &lendable, state);
     }
-    state.engine_hub.peer(&message.host, message.holdings);
+    state.engine_pools.peer(&message.host, message.holdings);
     state.limits.merge(state, &message.limits);
     state.quarantine.receive(state, message.crashes)
 }
--- a/crates/router/src/relay/limits.rs
+++ b/crates/router/src/relay/limits.rs
@@ -14,11 +14,11 @@
 
 /// Limits that servers have stated to this daemon or to others.
 #[derive(Debug, Default)]
-pub struct LimitHub {
+pub struct StatedLimits {
     limits: Mutex<ServerLimits>,
 }
 
-impl LimitHub {
+impl StatedLimits {
     /// Records an answer of a server, with or without a limit.
     pub fn record_answer(&self, state: &RelayState, server: &BackendServerId, rate: Option<CreditPerSecond>) {
         if self.limits.lock().answered(clock::now(), server, rate) {
--- a/crates/router/src/relay/loans.rs
+++ b/crates/router/src/relay/loans.rs
@@ -64,7 +64,8 @@
     state: &RelayState,
 ) {
     let LoanRequest { incarnation, service, number, credit } = request;
-    let lent = state.engine_hub.lend(&service, credit).or_else(|| state.plain_hub.lend(&service, credit));
+    let lent =
+        state.engine_pools.lend(&service, credit).or_else(|| state.plain_schedulers.lend(&service, credit));
     let Some((credit, lendable)) = lent else {
         return;
     };
@@ -79,20 +80,20 @@
 pub fn handle_reply(reply: &LoanReply, state: &RelayState) {
     if reply.incarnation == state.incarnation {
         let LoanReply { service, number, credit, lendable, .. } = reply;
-        state.engine_hub.lent(service, *number, *credit, *lendable);
-        state.plain_hub.lent(service, *number, *credit, *lendable);
+        state.engine_pools.lent(service, *number, *credit, *lendable);
+        state.plain_schedulers.lent(service, *number, *credit, *lendable);
     }
 }
 
 /// Credit that this daemon can lend.
 pub fn lendable(state: &RelayState) -> LendableCredits {
-    let mut lendable = state.engine_hub.lendable();
-    lendable.extend(state.plain_hub.lendable());
+    let mut lendable = state.engine_pools.lendable();
+    lendable.extend(state.plain_schedulers.lendable());
     lendable
 }
 
 /// Records the lendable credit of another daemon.
 pub fn update_lender(host: &HostId, lendable: &LendableCredits, state: &RelayState) {
-    state.engine_hub.update_lender(host, lendable);
-    state.plain_hub.update_lender(host, lendable);
+    state.engine_pools.update_lender(host, lendable);
+    state.plain_schedulers.update_lender(host, lendable);
 }
--- a/crates/router/src/relay/metrics.rs
+++ b/crates/router/src/relay/metrics.rs
@@ -107,16 +107,16 @@
             state.quarantine.counts().1 as u64
         });
         observe_gauge(&meter, "hibiscusvale_relay_engine_retries", state, |state| {
-            state.engine_hub.counters().iter().map(|counters| counters.retries).sum()
+            state.engine_pools.counters().iter().map(|counters| counters.retries).sum()
         });
         observe_gauge(&meter, "hibiscusvale_relay_engine_retries_denied", state, |state| {
-            state.engine_hub.counters().iter().map(|counters| counters.retries_denied).sum()
+            state.engine_pools.counters().iter().map(|counters| counters.retries_denied).sum()
         });
         observe_gauge(&meter, "hibiscusvale_relay_plain_retries", state, |state| {
-            state.plain_hub.counters().iter().map(|counters| counters.retries).sum()
+            state.plain_schedulers.counters().iter().map(|counters| counters.retries).sum()
         });
         observe_gauge(&meter, "hibiscusvale_relay_plain_retries_denied", state, |state| {
-            state.plain_hub.counters().iter().map(|counters| counters.retries_denied).sum()
+            state.plain_schedulers.counters().iter().map(|counters| counters.retries_denied).sum()
         });
     }
 
--- a/crates/router/src/relay/mod.rs
+++ b/crates/router/src/relay/mod.rs
@@ -10,7 +10,7 @@
 mod crashes;
 mod daemon;
 mod dependency;
-mod engine_hub;
+mod engine_pools;
 pub mod events;
 mod exchange;
 mod forwarding;
--- a/crates/router/src/relay/orders.rs
+++ b/crates/router/src/relay/orders.rs
@@ -94,7 +94,7 @@
             return;
         }
         for _ in 0..ORDERS_AT_ONCE {
-            let shifts = self.state.engine_hub.next_shifts();
+            let shifts = self.state.engine_pools.next_shifts();
             if shifts.is_empty() {
                 return;
             }
@@ -183,7 +183,7 @@
             return;
         };
         if report.is_busy || report.role == Some(shift.role) {
-            state.engine_hub.shifted(service, shift);
+            state.engine_pools.shifted(service, shift);
             return;
         }
         // The process may have been suspended since, so the lease is checked again just before the order is
@@ -205,7 +205,7 @@
             Ok(StatusCode::PRECONDITION_FAILED) => self.lease = self.lease.without_lease(),
             // A conflict means that the engine is executing something else; a failed call, that it may be.
             Ok(StatusCode::ACCEPTED | StatusCode::OK | StatusCode::CONFLICT) | Err(_) => {
-                state.engine_hub.shifted(service, shift);
+                state.engine_pools.shifted(service, shift);
                 state.peers.schedule_message(Urgency::Soon);
             }
             Ok(_) => {}
--- a/crates/router/src/relay/plain.rs
+++ b/crates/router/src/relay/plain.rs
@@ -33,8 +33,10 @@
     incoming: &Arc<Incoming>,
 ) -> Result<Response<AnswerBody>, Refusal> {
     let arrival = arrival_of(incoming);
-    let mut open =
-        state.plain_hub.arrive(incoming.service.as_str(), arrival).ok_or(Refusal::new(Reason::NoServer))?;
+    let mut open = state
+        .plain_schedulers
+        .arrive(incoming.service.as_str(), arrival)
+        .ok_or(Refusal::new(Reason::NoServer))?;
     let request_id = incoming.request_id;
     // The answer of a failed server; the caller gets it if no other attempt succeeds.
     let mut failed: Option<BufferedReply> = None;
@@ -132,7 +134,7 @@
 ) -> Result<BufferedReply, FailureCause> {
     let to = state.directory.address_of(server).ok_or(FailureCause::NotSent)?;
     if let Err(reached) = state.limits.admit(state, server, 1).await {
-        state.plain_hub.limited(server, reached);
+        state.plain_schedulers.limited(server, reached);
         return Err(FailureCause::Limited);
     }
     let hop = incoming.hop(server, Task::Run);
@@ -143,13 +145,13 @@
         Err(cause) => {
             crashes::check_for_crash(incoming, &attempt, cause).await;
             if cause == FailureCause::Leaving {
-                state.plain_hub.update_status(server, StatusUpdate::Leaving);
+                state.plain_schedulers.update_status(server, StatusUpdate::Leaving);
             }
             return Err(cause);
         }
     };
     if let Some(load) = reply.head.load {
-        state.plain_hub.load(server, load.running + load.waiting, load.slots);
+        state.plain_schedulers.load(server, load.running + load.waiting, load.slots);
     }
     let buffered = reply.into_buffered(timeout).await;
     if let Err(cause) = &buffered {
--- a/crates/router/src/relay/quarantine.rs
+++ b/crates/router/src/relay/quarantine.rs
@@ -17,7 +17,7 @@
 
 /// Crash evidence, shared by all requests of this daemon.
 #[derive(Debug)]
-pub struct QuarantineHub {
+pub struct SharedQuarantine {
     quarantine: Mutex<Quarantine>,
     /// Number of verdicts so far; requests waiting for a server check again at each change.
     verdicts: watch::Sender<u64>,
@@ -25,8 +25,8 @@
     to_save: mpsc::UnboundedSender<Fingerprint>,
 }
 
-impl QuarantineHub {
-    /// A hub without evidence, and the receiver of requests whose evidence is to be saved.
+impl SharedQuarantine {
+    /// A quarantine without evidence, and the receiver of requests whose evidence is to be saved.
     pub fn new(incarnation: Incarnation) -> (Self, mpsc::UnboundedReceiver<Fingerprint>) {
         let quarantine = Quarantine::new(QuarantineSettings::default(), incarnation);
         let (to_save, receiver) = mpsc::unbounded_channel();
--- a/crates/router/src/relay/quotas.rs
+++ b/crates/router/src/relay/quotas.rs
@@ -105,7 +105,7 @@
 
 /// Quotas and server limits as far as this daemon spends or grants their credit.
 #[derive(Debug)]
-pub struct QuotaHub {
+pub struct QuotaAccounts {
     host: HostId,
     accounts: Mutex<HashMap<QuotaOwner, Account>>,
     pending: Mutex<HashMap<u64, PendingRequest>>,
@@ -114,11 +114,11 @@
     outgoing: mpsc::UnboundedSender<Outgoing>,
 }
 
-impl QuotaHub {
-    /// A hub without quotas, and the receiver of its outgoing datagrams.
+impl QuotaAccounts {
+    /// A set without quotas, and the receiver of its outgoing datagrams.
     pub fn new(host: HostId) -> (Self, mpsc::UnboundedReceiver<Outgoing>) {
         let (outgoing, messages) = mpsc::unbounded_channel();
-        let hub = Self {
+        let quotas = Self {
             host,
             accounts: Mutex::default(),
             pending: Mutex::default(),
@@ -126,7 +126,7 @@
             suspicions: Mutex::default(),
             outgoing,
         };
-        (hub, messages)
+        (quotas, messages)
     }
 
     /// Applies the quotas of a route table. Granted and leased credit is kept.
--- a/crates/router/src/relay/state.rs
+++ b/crates/router/src/relay/state.rs
@@ -15,21 +15,21 @@
 use parking_lot::Mutex;
 use tokio::time::Instant;
 
-use super::engine_hub::EngineHub;
+use super::engine_pools::EnginePools;
 use super::freshness::Freshness;
 use super::interfaces::{Call, Hop, Task, Wire};
-use super::limits::LimitHub;
+use super::limits::StatedLimits;
 use super::metrics::{RelayMetrics, RequestSummary};
 use super::peers::Peers;
-use super::quarantine::QuarantineHub;
-use super::quotas::QuotaHub;
+use super::quarantine::SharedQuarantine;
+use super::quotas::QuotaAccounts;
 use super::server_changes::ServerChangeLog;
 use super::settings::BoundSettings;
 use super::state_transfer::TransferBudget;
 use super::trace::{RequestTrace, Step};
 use crate::backend::BackendHttp;
 use crate::directory::Directory;
-use crate::dispatch::PlainHub;
+use crate::dispatch::PlainSchedulers;
 use crate::logging::{Log, RelayLine};
 
 /// A request that was read completely.
@@ -162,9 +162,9 @@
     /// HTTP client for backend servers.
     pub http: BackendHttp,
     /// Schedulers of plain services.
-    pub plain_hub: PlainHub,
+    pub plain_schedulers: PlainSchedulers,
     /// Engine pools.
-    pub engine_hub: EngineHub,
+    pub engine_pools: EnginePools,
     /// Age of routes and server list.
     pub freshness: Freshness,
     /// Waiting times of callers by route.
@@ -176,11 +176,11 @@
     /// The other daemons.
     pub peers: Peers,
     /// Quotas of organisations and credit of server limits.
-    pub quotas: QuotaHub,
+    pub quotas: QuotaAccounts,
     /// Limits that servers state.
-    pub limits: LimitHub,
+    pub limits: StatedLimits,
     /// Requests that crash servers.
-    pub quarantine: QuarantineHub,
+    pub quarantine: SharedQuarantine,
     /// Limits of the installation.
     pub bounds: Mutex<BoundSettings>,
     /// Incarnation of this daemon.
--- a/crates/router/src/relay/stream.rs
+++ b/crates/router/src/relay/stream.rs
@@ -16,7 +16,7 @@
 use hyper::body::Incoming as ServerBody;
 
 use super::crashes::{self, Attempt};
-use super::engine_hub::{EngineHub, OpenRequest};
+use super::engine_pools::{EnginePools, OpenRequest};
 use super::forwarding;
 use super::hop::{self, BufferedReply, Reply};
 use super::interfaces::{EventId, Generation, Hop, PrefillResult, Reservation, Task};
@@ -49,8 +49,8 @@
 ) -> Result<Response<AnswerBody>, Refusal> {
     let generation = incoming.call.generation.as_ref().ok_or(Refusal::new(Reason::BadRequest))?;
     let demand = demand_of(incoming, generation);
-    let open =
-        EngineHub::arrive(state, incoming.service.as_str(), demand).ok_or(Refusal::new(Reason::NoServer))?;
+    let open = EnginePools::arrive(state, incoming.service.as_str(), demand)
+        .ok_or(Refusal::new(Reason::NoServer))?;
     let mut request = StreamedRequest {
         state: Arc::clone(state),
         incoming: Arc::clone(incoming),
@@ -96,7 +96,7 @@
 /// Charges requests to the limit that an engine states; tells the pool when it is used up.
 async fn admit(state: &RelayState, engine: &BackendServerId, requests: u64) -> Result<(), FailureCause> {
     state.limits.admit(state, engine, requests).await.map_err(|reached| {
-        state.engine_hub.limited(engine, reached);
+        state.engine_pools.limited(engine, reached);
         FailureCause::Limited
     })
 }
--- a/crates/router/src/relay/watch.rs
+++ b/crates/router/src/relay/watch.rs
@@ -102,7 +102,7 @@
         return false;
     }
     state.log.routes_in_force(table.version().0);
-    state.engine_hub.configure(&table);
+    state.engine_pools.configure(&table);
     state.caller_waits.lock().retain(|route| table.has(route));
     state.table.store(Arc::new(table));
     state.configure_quotas();
@@ -194,8 +194,8 @@
     let listing = state.directory.listing();
     state.log.servers_changed(&before.servers, &listing.servers);
     state.limits.adopt(state, &listing.servers);
-    state.plain_hub.adopt(&listing);
-    state.engine_hub.adopt(&listing);
-    state.engine_hub.configure(&state.table.load());
+    state.plain_schedulers.adopt(&listing);
+    state.engine_pools.adopt(&listing);
+    state.engine_pools.configure(&state.table.load());
     state.servers_adopted.store(true, Ordering::Relaxed);
 }
--- a/crates/router/src/server_status.rs
+++ b/crates/router/src/server_status.rs
@@ -9,13 +9,13 @@
 use hibiscusvale_core::spread::{ServerStatus, SpreadView};
 
 use crate::clock;
-use crate::control::Hubs;
+use crate::control::SharedSchedulers;
 use crate::directory::Directory;
 use crate::service_registry::{ServiceName, ServiceRegistry};
 use crate::watcher::WatcherCommand;
 
-/// Interval at which spread statuses are checked. A leaving server stops receiving new work from all daemons within
-/// the spreading time plus this interval.
+/// Interval at which spread statuses are checked. A leaving server stops receiving new work from all daemons
+/// within the spreading time plus this interval.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Applies the statuses observed by any daemon, including this one: a leaving server gets no new work from this
@@ -24,7 +24,7 @@
     registry: ServiceRegistry,
     view: Arc<ArcSwap<SpreadView>>,
     directory: Arc<Directory>,
-    hubs: Arc<OnceLock<Hubs>>,
+    schedulers: Arc<OnceLock<SharedSchedulers>>,
 ) {
     let mut seen = Arc::new(SpreadView::default());
     let mut period = tokio::time::interval(POLL_INTERVAL);
@@ -37,10 +37,10 @@
         let changed =
             now.statuses.iter().filter(|(server, status)| seen.statuses.get(*server) != Some(*status));
         for (server, status) in changed {
-            apply_status(&registry, &directory, &hubs, server, *status);
+            apply_status(&registry, &directory, &schedulers, server, *status);
         }
         for server in seen.statuses.keys().filter(|server| !now.statuses.contains_key(*server)) {
-            apply_status(&registry, &directory, &hubs, server, ServerStatus::Accepting);
+            apply_status(&registry, &directory, &schedulers, server, ServerStatus::Accepting);
         }
         seen = now;
     }
@@ -49,7 +49,7 @@
 fn apply_status(
     registry: &ServiceRegistry,
     directory: &Directory,
-    hubs: &OnceLock<Hubs>,
+    schedulers: &OnceLock<SharedSchedulers>,
     server: &BackendServerId,
     status: ServerStatus,
 ) {
@@ -68,8 +68,8 @@
     if let Ok(inbox) = registry.find(ServiceName::Watcher) {
         let _ = inbox.try_send(WatcherCommand::ServerStatus(server.clone()));
     }
-    if let Some(hubs) = hubs.get() {
-        hubs.language.feed(Event::StatusUpdate { server: server.clone(), update });
-        hubs.plain.update_status(server, update);
+    if let Some(schedulers) = schedulers.get() {
+        schedulers.language.feed(Event::StatusUpdate { server: server.clone(), update });
+        schedulers.plain.update_status(server, update);
     }
 }
--- a/crates/router/src/watcher.rs
+++ b/crates/router/src/watcher.rs
@@ -1,5 +1,5 @@
-//! The watcher service: maintains the slot ledgers of the engines watched by this daemon, and tells the scheduler
-//! which engines exist and who watches them.
+//! The watcher service: maintains the slot ledgers of the engines watched by this daemon, and tells the
+//! scheduler which engines exist and who watches them.
 //!
 //! Runs on the control thread. Which daemon watches an engine is derived from the membership view alone, so
 //! engines are reassigned automatically when a daemon fails.
@@ -27,7 +27,7 @@
 };
 use crate::clock;
 use crate::directory::{BackendKind, BackendServer, Directory, Listing};
-use crate::dispatch::{Hub, PlainHub, Releases};
+use crate::dispatch::{LanguageScheduler, PlainSchedulers, Releases};
 use crate::external::{EngineRole, ListedState};
 use crate::metrics::Metrics;
 use crate::metrics_reporter;
@@ -37,10 +37,10 @@
 /// memory that no ledger knows of, such as that of a daemon that died, so one second is enough.
 const MIN_READ_INTERVAL_MS: Millis = Millis(1_000);
 
-/// Interval of engine reads; each one reads the engine that was read longest ago. Control may send 4 KB/s: at the
-/// design size a daemon watches about thirty engines, and reading all of them every second would use most of that.
-/// Eight reads a second take about 700 B, which reads each engine every four seconds there, and every second where
-/// eight or fewer are watched.
+/// Interval of engine reads; each one reads the engine that was read longest ago. Control may send 4 KB/s: at
+/// the design size a daemon watches about thirty engines, and reading all of them every second would use most
+/// of that. Eight reads a second take about 700 B, which reads each engine every four seconds there, and every
+/// second where eight or fewer are watched.
 const READ_INTERVAL: Duration = Duration::from_millis(125);
 
 /// Interval of checks for expired grants and servers that become available again.
@@ -84,9 +84,9 @@
     /// Link to other daemons.
     pub link: Arc<dyn PeerLink>,
     /// Scheduler of language requests.
-    pub hub: Arc<Hub>,
+    pub language_scheduler: Arc<LanguageScheduler>,
     /// Schedulers of plain services.
-    pub plain_hub: Arc<PlainHub>,
+    pub plain_schedulers: Arc<PlainSchedulers>,
     /// Releases of engine memory.
     pub releases: Arc<Releases>,
     /// Metrics.
@@ -199,16 +199,16 @@
         }
     }
 
-    /// Applies a change of membership or of the directory: opens and closes ledgers, and tells the scheduler about
-    /// servers and new watchers, with which it registers its held slots.
+    /// Applies a change of membership or of the directory: opens and closes ledgers, and tells the scheduler
+    /// about servers and new watchers, with which it registers its held slots.
     fn update_assignments(&mut self) {
         let now_us = clock::now();
         let view = self.parts.members.load_full();
         let listing = self.parts.directory.listing();
-        self.parts.plain_hub.adopt(&listing);
+        self.parts.plain_schedulers.adopt(&listing);
         let engines = engines_in_region(&self.parts.region, &listing);
         let records = engines.iter().filter_map(|server| server_record(server)).collect();
-        self.parts.hub.feed(Event::Servers(records));
+        self.parts.language_scheduler.feed(Event::Servers(records));
         let others = incarnations_in_region(&self.parts, &view);
         self.forget_ended_incarnations(now_us, &others);
         let mut watchers = HashMap::with_capacity(engines.len());
@@ -224,7 +224,7 @@
         self.announce(&view, &known);
         for (server, watcher) in &watchers {
             if self.watchers.get(server) != Some(watcher) {
-                self.parts.hub.feed(Event::WatcherChanged { server: server.clone() });
+                self.parts.language_scheduler.feed(Event::WatcherChanged { server: server.clone() });
             }
         }
         self.watchers = watchers;
@@ -349,7 +349,7 @@
         self.cache_seq.insert(server.clone(), page.next_seq.saturating_sub(1));
         if !page.events.is_empty() {
             let events = page.events.iter().map(cache_event).collect();
-            self.parts.hub.feed(Event::Cache { server, events });
+            self.parts.language_scheduler.feed(Event::Cache { server, events });
         }
     }
 
@@ -382,7 +382,7 @@
         for action in std::mem::take(&mut self.actions) {
             match action {
                 LedgerAction::Send { to, message } if to == self.parts.host => {
-                    self.parts.hub.feed(Event::Slot(message));
+                    self.parts.language_scheduler.feed(Event::Slot(message));
                 }
                 LedgerAction::Send { to, message } => self.parts.link.send(&to, PeerBody::Slots(message)),
                 LedgerAction::Cancel { server, request_id } => self.cancel(&server, request_id),
@@ -392,9 +392,10 @@
         }
     }
 
-    /// Releases the memory of a request at a watched engine after its daemon, which is live, stopped renewing it.
-    /// The attempts are those reported by the engine. If the daemon is not heard, the orphan detector decides
-    /// after a longer delay whether it is dead or only unreachable from here: it may still be reading its streams.
+    /// Releases the memory of a request at a watched engine after its daemon, which is live, stopped renewing
+    /// it. The attempts are those reported by the engine. If the daemon is not heard, the orphan detector
+    /// decides after a longer delay whether it is dead or only unreachable from here: it may still be reading
+    /// its streams.
     fn cancel(&self, server: &BackendServerId, request_id: RequestId) {
         let view = self.parts.members.load();
         let held = self.held.get(server).into_iter().flatten();
@@ -408,8 +409,8 @@
     }
 }
 
-/// Reads the load and, for a prefill server, the cache events. Failed reads are ignored: the ledger counts its own
-/// grants, and an unresponsive server shows up in failed requests.
+/// Reads the load and, for a prefill server, the cache events. Failed reads are ignored: the ledger counts its
+/// own grants, and an unresponsive server shows up in failed requests.
 async fn read_engine(
     engines: Arc<dyn EngineClient>,
     reports: mpsc::UnboundedSender<EngineReport>,
@@ -444,8 +445,8 @@
     text.parse().ok().map(|attempt: AttemptId| attempt.request_id)
 }
 
-/// State of the owner according to the membership view. An incarnation newer than the view's counts as live, since
-/// it is not yet known here.
+/// State of the owner according to the membership view. An incarnation newer than the view's counts as live,
+/// since it is not yet known here.
 fn owner_state(owner: &Owner, view: &MembersView) -> OwnerState {
     match view.find(&owner.host) {
         Some(member) if member.incarnation > owner.incarnation => OwnerState::Replaced,
@@ -461,8 +462,8 @@
     }
 }
 
-/// The engines that this daemon schedules work on: those of its region. Between regions, transferring a KV cache
-/// is slower than repeating the prefill.
+/// The engines that this daemon schedules work on: those of its region. Between regions, transferring a KV
+/// cache is slower than repeating the prefill.
 fn engines_in_region(region: &RegionId, listing: &Listing) -> Vec<Arc<BackendServer>> {
     let engines = listing.servers.values().filter(|server| server.region == *region);
     engines.filter(|server| matches!(server.kind, BackendKind::Engine { .. })).cloned().collect()
