--- a/crates/router/src/external/log.rs
+++ b/crates/router/src/external/log.rs
@@ -105,12 +105,12 @@
         limit: u32,
         wait_ms: Millis,
     ) -> Result<LogPage, LogFailure> {
-        let trust = if self.bypasses_pool.load(Ordering::Relaxed) {
+        let reuse = if self.bypasses_pool.load(Ordering::Relaxed) {
             ConnectionReuse::Fresh
         } else {
             ConnectionReuse::Pooled
         };
-        let page = self.try_read(trust, stream, from, limit, wait_ms).await;
+        let page = self.try_read(reuse, stream, from, limit, wait_ms).await;
         let is_unresponsive = matches!(page, Err(LogFailure::Timeout | LogFailure::Unreachable));
         self.bypasses_pool.store(is_unresponsive, Ordering::Relaxed);
         page
@@ -118,7 +118,7 @@
 
     async fn try_read(
         &self,
-        trust: ConnectionReuse,
+        reuse: ConnectionReuse,
         stream: Stream,
         from: Offset,
         limit: u32,
@@ -131,7 +131,7 @@
             .body(Full::default())
             .map_err(|_| LogFailure::Malformed)?;
         let timeout = Duration::from(wait_ms + self.settings.read_margin_ms);
-        let response = self.http.send(trust, request, timeout).await.map_err(read_failure)?;
+        let response = self.http.send(reuse, request, timeout).await.map_err(read_failure)?;
         match response.status() {
             StatusCode::OK => {}
             StatusCode::SERVICE_UNAVAILABLE => return Err(LogFailure::Down),
--- a/crates/router/src/relay/hop.rs
+++ b/crates/router/src/relay/hop.rs
@@ -82,10 +82,10 @@
     incoming: &IncomingRequest,
     to: SocketAddr,
     hop: &Hop<'_>,
-    trust: ConnectionReuse,
+    reuse: ConnectionReuse,
     timeout: Duration,
 ) -> Result<Reply, FailureCause> {
-    let reply = exchange(http, wire, incoming, to, hop, trust, timeout).await?;
+    let reply = exchange(http, wire, incoming, to, hop, reuse, timeout).await?;
     match classify_head(incoming, reply.status, &reply.head) {
         Ok(()) => Ok(reply),
         Err(cause) => {
@@ -128,11 +128,11 @@
     incoming: &IncomingRequest,
     to: SocketAddr,
     hop: &Hop<'_>,
-    trust: ConnectionReuse,
+    reuse: ConnectionReuse,
     timeout: Duration,
 ) -> Result<Reply, FailureCause> {
     let request = request_of(wire, incoming, to, hop).map_err(|_| FailureCause::NotSent)?;
-    let mut known = http.send_tracked(trust, request, timeout).await.map_err(failure_cause)?;
+    let mut known = http.send_tracked(reuse, request, timeout).await.map_err(failure_cause)?;
     let status = known.response.status();
     let headers = std::mem::take(known.response.headers_mut());
     let head = wire.parse_reply(status, &headers);
--- a/crates/router/src/relay/plain.rs
+++ b/crates/router/src/relay/plain.rs
@@ -53,8 +53,8 @@
         let Some(action) = step else { break };
         match action {
             PlainAction::Dispatch { server, timeout_ms, fresh_connection, .. } => {
-                let trust = if fresh_connection { ConnectionReuse::Fresh } else { ConnectionReuse::Pooled };
-                let result = run_attempt(state, incoming, server.clone(), timeout_ms, trust).await;
+                let reuse = if fresh_connection { ConnectionReuse::Fresh } else { ConnectionReuse::Pooled };
+                let result = run_attempt(state, incoming, server.clone(), timeout_ms, reuse).await;
                 match &result {
                     Ok(_) => incoming.record_step(Step::Answered, &server),
                     Err(cause) => {
@@ -114,14 +114,14 @@
     incoming: &Arc<Incoming>,
     server: BackendServerId,
     timeout_ms: Millis,
-    trust: ConnectionReuse,
+    reuse: ConnectionReuse,
 ) -> Result<BufferedReply, FailureCause> {
     let left = incoming.left();
     if is_repeatable(incoming) {
-        return exchange(state, incoming, &server, trust, left.min(Duration::from(timeout_ms))).await;
+        return exchange(state, incoming, &server, reuse, left.min(Duration::from(timeout_ms))).await;
     }
     let (state, incoming) = (Arc::clone(state), Arc::clone(incoming));
-    let task = tokio::spawn(async move { exchange(&state, &incoming, &server, trust, left).await });
+    let task = tokio::spawn(async move { exchange(&state, &incoming, &server, reuse, left).await });
     task.await.unwrap_or(Err(FailureCause::Broken))
 }
 
@@ -129,7 +129,7 @@
     state: &RelayState,
     incoming: &Incoming,
     server: &BackendServerId,
-    trust: ConnectionReuse,
+    reuse: ConnectionReuse,
     timeout: Duration,
 ) -> Result<BufferedReply, FailureCause> {
     let to = state.directory.address_of(server).ok_or(FailureCause::NotSent)?;
@@ -139,7 +139,7 @@
     }
     let hop = incoming.hop(server, Task::Run);
     let attempt = Attempt::new(server, to);
-    let reply = hop::send(&state.http, &*state.wire, incoming, to, &hop, trust, timeout).await;
+    let reply = hop::send(&state.http, &*state.wire, incoming, to, &hop, reuse, timeout).await;
     let reply = match reply {
         Ok(reply) => reply,
         Err(cause) => {
--- a/crates/router/src/relay/stream.rs
+++ b/crates/router/src/relay/stream.rs
@@ -282,8 +282,8 @@
             after_event: self.last_event,
             ..incoming.hop(writer, task)
         };
-        let trust = if self.is_repeatable() { ConnectionReuse::Pooled } else { ConnectionReuse::Fresh };
-        let reply = hop::send(&state.http, &*state.wire, incoming, at, &hop, trust, incoming.left()).await;
+        let reuse = if self.is_repeatable() { ConnectionReuse::Pooled } else { ConnectionReuse::Fresh };
+        let reply = hop::send(&state.http, &*state.wire, incoming, at, &hop, reuse, incoming.left()).await;
         if let Err(cause) = &reply {
             crashes::check_for_crash(incoming, &attempt, *cause).await;
         }
