--- a/crates/core/src/claim/machine.rs
+++ b/crates/core/src/claim/machine.rs
@@ -110,15 +110,15 @@
         let deadline_us = now_us + self.settings.begin_timeout_ms;
         self.waiting_keys.insert(key, request);
         self.waiting.insert(request, Waiting { claim, deadline_us, stage: Stage::Log, may_be_logged: false });
-        self.ask_owner(now_us, request);
+        self.send_to_owner(now_us, request);
     }
 
-    fn ask_owner(&mut self, now_us: MonoTime, request: RequestId) {
+    fn send_to_owner(&mut self, now_us: MonoTime, request: RequestId) {
         let Some(waiting) = self.waiting.get(&request) else {
             return;
         };
         let partition = waiting.claim.key.partition(self.settings.partitions);
-        let Some(to) = self.owners.owner_to_ask(now_us, partition).cloned() else {
+        let Some(to) = self.owners.available_owner(now_us, partition).cloned() else {
             self.claim_through_log(now_us, request);
             return;
         };
@@ -128,7 +128,7 @@
         };
         waiting.stage = Stage::Owner { until_us };
         waiting.may_be_logged = true;
-        let message = ClaimMessage::Ask(waiting.claim.clone());
+        let message = ClaimMessage::Request(waiting.claim.clone());
         self.actions.push(ClaimAction::Send { to, message });
     }
 
@@ -153,7 +153,7 @@
         }
     }
 
-    fn handle_ask(&mut self, now_us: MonoTime, from: &HostId, claim: Claim) {
+    fn handle_request(&mut self, now_us: MonoTime, from: &HostId, claim: Claim) {
         let request = claim.request;
         let id = claim.key.partition(self.settings.partitions);
         let pending = Pending {
@@ -257,7 +257,7 @@
         self.unix_ms = unix_ms;
         match message {
             ClaimMessage::Leaving => self.owners.mark_leaving(now_us, from),
-            ClaimMessage::Ask(claim) => self.handle_ask(now_us, from, claim),
+            ClaimMessage::Request(claim) => self.handle_request(now_us, from, claim),
             ClaimMessage::Accepted { request } => self.handle_accepted(now_us, request),
             ClaimMessage::Verdict { request, verdict } => self.handle_peer_verdict(now_us, request, verdict),
             ClaimMessage::Query { request, holder } => self.answer_query(now_us, from, request, holder),
--- a/crates/core/src/claim/mod.rs
+++ b/crates/core/src/claim/mod.rs
@@ -137,7 +137,7 @@
     /// To all daemons: the sender is shutting down and is not to be used as an owner any more.
     Leaving,
     /// To the owner of a partition: append this claim.
-    Ask(Claim),
+    Request(Claim),
     /// From the owner: the claim is queued for the log.
     Accepted {
         /// Request that the message answers.
--- a/crates/core/src/claim/owners.rs
+++ b/crates/core/src/claim/owners.rs
@@ -39,7 +39,7 @@
     /// owner that recently did not answer is bypassed: membership declares a host dead only after ten
     /// seconds, and until then each claim of its partitions would wait for a timeout first, so that launch
     /// entries would miss their target.
-    pub(super) fn owner_to_ask(&self, now_us: MonoTime, partition: u16) -> Option<&HostId> {
+    pub(super) fn available_owner(&self, now_us: MonoTime, partition: u16) -> Option<&HostId> {
         self.remote_owner(partition).filter(|owner| {
             let until_us = self.unresponsive_until_us.get(*owner);
             until_us.is_none_or(|until_us| *until_us <= now_us)
--- a/crates/core/tests/outcomes/model.rs
+++ b/crates/core/tests/outcomes/model.rs
@@ -46,7 +46,7 @@
 /// records are given. If the last of them is the call's claim, it is the record that this daemon appends.
 fn verdict(log: &[ClaimGroup], prefix: usize, call: u64) -> Verdict {
     let mut daemon = Claims::new(host("owner"), Incarnation(9), ClaimSettings::default());
-    daemon.handle_message(NOW, UNIX, &host("asker"), ClaimMessage::Ask(claim(call)));
+    daemon.handle_message(NOW, UNIX, &host("asker"), ClaimMessage::Request(claim(call)));
     let partition = claim(call).key.partition(ClaimSettings::default().partitions);
     let own = log[prefix - 1] == group(ClaimEntry::Claim(claim(call)));
     let known = if own { prefix - 1 } else { prefix };
--- a/crates/core/tests/outcomes/owners.rs
+++ b/crates/core/tests/outcomes/owners.rs
@@ -8,7 +8,7 @@
 
 const NOW_UNIX_MS: UnixMillis = UnixMillis(1_000_000_000);
 
-fn asks(actions: &[ClaimAction]) -> usize {
+fn requests_sent(actions: &[ClaimAction]) -> usize {
     actions.iter().filter(|action| matches!(action, ClaimAction::Send { .. })).count()
 }
 
@@ -20,7 +20,7 @@
         let key = ClaimKey::new(&partner, &format!("key-{number}").parse().expect("key"));
         claims.begin(at, NOW_UNIX_MS, request, key, BodyDigest::new("POST", "/", b""));
     }
-    asks(&claims.take_actions())
+    requests_sent(&claims.take_actions())
 }
 
 /// The owner of half of the keys dies. Membership declares it dead only ten seconds later; if each launch
