--- a/crates/client/src/cmd/members.rs
+++ b/crates/client/src/cmd/members.rs
@@ -6,7 +6,7 @@
 
 use crate::context::Context;
 use crate::error::ClientError;
-use crate::hosts::{answered, ask_all};
+use crate::hosts::{answered, query_all};
 use crate::report::{Report, table};
 
 /// Lists the members of the system as seen by each host.
@@ -19,7 +19,7 @@
 impl Members {
     pub(super) async fn run(&self, context: &Context) -> Result<Report, ClientError> {
         let client = OperatorClient::default();
-        let views = answered(ask_all(&client, context.hosts()?, "/control/members").await)?;
+        let views = answered(query_all(&client, context.hosts()?, "/control/members").await)?;
         let human = human(&views);
         Ok(Report::new(&views, human))
     }
--- a/crates/client/src/cmd/outcomes.rs
+++ b/crates/client/src/cmd/outcomes.rs
@@ -10,7 +10,7 @@
 
 use crate::context::Context;
 use crate::error::ClientError;
-use crate::hosts::{answered, ask_all};
+use crate::hosts::{answered, query_all};
 use crate::report::{Report, table};
 
 /// Shows goodput, wasted prefill, refusals and retries, summed over the hosts.
@@ -31,7 +31,7 @@
 impl Outcomes {
     pub(super) async fn run(&self, context: &Context) -> Result<Report, ClientError> {
         let client = OperatorClient::default();
-        let answers = ask_all::<OutcomesView>(&client, context.hosts()?, "/control/outcomes").await;
+        let answers = query_all::<OutcomesView>(&client, context.hosts()?, "/control/outcomes").await;
         let views = answered(answers)?;
         let only = context.partner.as_ref().filter(|_| !self.all);
         let view = View { hosts: views.len(), classes: sum(views, only) };
--- a/crates/client/src/cmd/status.rs
+++ b/crates/client/src/cmd/status.rs
@@ -10,7 +10,7 @@
 
 use crate::context::Context;
 use crate::error::ClientError;
-use crate::hosts::{HostAnswer, ask_all};
+use crate::hosts::{HostAnswer, query_all};
 use crate::report::{Report, table};
 
 /// Shows the version in force and the state of each host.
@@ -36,7 +36,7 @@
 impl Status {
     pub(super) async fn run(&self, context: &Context) -> Result<Report, ClientError> {
         let client = OperatorClient::default();
-        let answers = ask_all::<StatusView>(&client, context.hosts()?, "/control/status").await;
+        let answers = query_all::<StatusView>(&client, context.hosts()?, "/control/status").await;
         let view = view(answers)?;
         let human = human(&view);
         Ok(Report::new(&view, human))
--- a/crates/client/src/cmd/wait.rs
+++ b/crates/client/src/cmd/wait.rs
@@ -12,7 +12,7 @@
 
 use crate::context::Context;
 use crate::error::ClientError;
-use crate::hosts::{answered, ask_all};
+use crate::hosts::{answered, query_all};
 use crate::publisher::{PublishOptions, wait_in_force};
 use crate::report::Report;
 
@@ -54,7 +54,7 @@
 
 /// Offset of the newest record in force on any host.
 async fn newest_in_force(client: &OperatorClient, context: &Context) -> Result<Offset, ClientError> {
-    let answers = ask_all::<StatusView>(client, context.hosts()?, "/control/status").await;
+    let answers = query_all::<StatusView>(client, context.hosts()?, "/control/status").await;
     let newest = answered(answers)?.into_iter().map(|status| status.next_offset).max();
     Ok(Offset(newest.unwrap_or_default().0.saturating_sub(1)))
 }
--- a/crates/client/src/cmd/why.rs
+++ b/crates/client/src/cmd/why.rs
@@ -7,7 +7,7 @@
 
 use crate::context::Context;
 use crate::error::ClientError;
-use crate::hosts::{HostAnswer, answered, ask_all};
+use crate::hosts::{HostAnswer, answered, query_all};
 use crate::report::{Report, or_dash};
 
 /// Explains the outcome of a request.
@@ -24,7 +24,7 @@
         let request_id = or_dash(self.request_id);
         let client = OperatorClient::default();
         let path = format!("/control/why/{request_id}");
-        let answers = ask_all::<RequestView>(&client, context.hosts()?, &path).await;
+        let answers = query_all::<RequestView>(&client, context.hosts()?, &path).await;
         let was_not_found = answers.iter().any(is_not_found);
         match answered(answers) {
             Ok(views) => views
--- a/crates/client/src/hosts.rs
+++ b/crates/client/src/hosts.rs
@@ -20,7 +20,11 @@
 }
 
 /// Queries all hosts concurrently for the view at `path`; the answers are in the order of `hosts`.
-pub async fn ask_all<View>(client: &OperatorClient, hosts: &[SocketAddr], path: &str) -> Vec<HostAnswer<View>>
+pub async fn query_all<View>(
+    client: &OperatorClient,
+    hosts: &[SocketAddr],
+    path: &str,
+) -> Vec<HostAnswer<View>>
 where
     View: DeserializeOwned + Send + 'static,
 {
@@ -70,7 +74,7 @@
     hosts: &[SocketAddr],
     partner: Option<&PartnerId>,
 ) -> Result<ConfigView, ClientError> {
-    let views = answered(ask_all(client, hosts, &config_path(partner)).await)?;
+    let views = answered(query_all(client, hosts, &config_path(partner)).await)?;
     let newest = views.into_iter().max_by_key(|view: &ConfigView| view.next_offset);
     newest.ok_or_else(|| ClientError::NoHostAnswered(Vec::new()))
 }
--- a/crates/client/src/publisher.rs
+++ b/crates/client/src/publisher.rs
@@ -18,7 +18,7 @@
 
 use crate::context::Context;
 use crate::error::{ClientError, UsageError};
-use crate::hosts::{HostAnswer, ask_all, config_path, newest_config};
+use crate::hosts::{HostAnswer, config_path, newest_config, query_all};
 
 /// Append attempts before giving up. With the delays between them they span a few seconds.
 const APPEND_ATTEMPTS: u32 = 6;
@@ -205,7 +205,7 @@
         let hosts = self.context.hosts()?;
         let id = change_id.to_string();
         loop {
-            let answers = ask_all::<ConfigView>(&self.client, hosts, &config_path(Some(partner))).await;
+            let answers = query_all::<ConfigView>(&self.client, hosts, &config_path(Some(partner))).await;
             let views = answers.into_iter().filter_map(|answer| answer.view.ok());
             if let Some(view) = views.into_iter().find(|view| view.next_offset > offset) {
                 return verdict_in_view(&view, &id, change_id, offset);
@@ -244,7 +244,7 @@
     use hibiscusvale::operators::views::StatusView;
     let hosts = context.hosts()?;
     loop {
-        let answers = ask_all::<StatusView>(client, hosts, "/control/status").await;
+        let answers = query_all::<StatusView>(client, hosts, "/control/status").await;
         let behind: Vec<String> = answers.iter().filter_map(|answer| describe_lag(answer, offset)).collect();
         if behind.is_empty() {
             return Ok(hosts.len());
