--- a/crates/core/src/sched/failing.rs
+++ b/crates/core/src/sched/failing.rs
@@ -236,7 +236,7 @@
         self.counters.retries += 1;
         request.enter(now_us, Stage::Backoff);
         request.rounds = 0;
-        request.tried = Default::default();
+        request.attempted = Default::default();
         let doublings = request.attempt.0.min(MAX_DOUBLINGS);
         let longest_us = Micros::from(self.settings.backoff_ms).0 << doublings;
         let pause_us = self.rng.random_range(0..=longest_us);
--- a/crates/core/src/sched/placing.rs
+++ b/crates/core/src/sched/placing.rs
@@ -58,9 +58,9 @@
     }
 
     fn turn_candidates(&mut self, now_us: MonoTime, request: &Request) -> [Option<Scored>; 2] {
-        let mut exclude = [ServerIndex::MAX; super::request::TRIED_MAX + 1];
-        let tried = request.tried.iter().chain([&request.failed_at]);
-        for (excluded, server) in exclude.iter_mut().zip(tried) {
+        let mut exclude = [ServerIndex::MAX; super::request::ATTEMPTED_MAX + 1];
+        let attempted = request.attempted.iter().chain([&request.failed_at]);
+        for (excluded, server) in exclude.iter_mut().zip(attempted) {
             *excluded = server.unwrap_or(ServerIndex::MAX);
         }
         let mut found = Candidates::default();
@@ -228,7 +228,7 @@
         let has_run = request.has_run();
         let is_on_time = now_us < request.deadline_us;
         let model = request.arrival.model.clone();
-        if again && self.has_untried(now_us, request_id) {
+        if again && self.has_unattempted(now_us, request_id) {
             self.request_turn(now_us, request_id, actions);
             return;
         }
@@ -252,12 +252,12 @@
     fn wait_for_watchers(&mut self, now_us: MonoTime, request_id: RequestId) {
         if let Some(request) = self.requests.get_mut(&request_id) {
             request.enter(now_us, Stage::Backoff);
-            request.tried = Default::default();
+            request.attempted = Default::default();
             self.set_timer(request_id, now_us + self.settings.no_answer_backoff_ms);
         }
     }
 
-    fn has_untried(&mut self, now_us: MonoTime, request_id: RequestId) -> bool {
+    fn has_unattempted(&mut self, now_us: MonoTime, request_id: RequestId) -> bool {
         let Some(request) = self.requests.get(&request_id).cloned() else {
             return false;
         };
--- a/crates/core/src/sched/replies.rs
+++ b/crates/core/src/sched/replies.rs
@@ -166,7 +166,7 @@
         };
         let for_turn = request.stage == Stage::AwaitTurn;
         if for_turn {
-            request.record_tried(open.server);
+            request.record_attempted(open.server);
         }
         if reason == DenyReason::WouldMissTarget || reason == DenyReason::QueueFull {
             let known_ms = request.retry_after_ms.unwrap_or(retry_after_ms);
@@ -201,7 +201,7 @@
         }
         let for_turn = request.stage == Stage::AwaitTurn;
         for open in lost.iter().flatten() {
-            request.record_tried(open.server);
+            request.record_attempted(open.server);
             self.counters.grant_request_timeouts += 1;
             self.directory.mark_unresponsive(open.server, now_us + self.settings.unresponsive_skip_ms);
             let server = self.directory.name(open.server).clone();
@@ -248,7 +248,7 @@
         self.withdraw_grant_requests(&mut request, actions);
         self.release_hold(request_id, request.turn.take(), GrantOutcome::Unused, actions);
         request.rounds = 0;
-        request.tried = Default::default();
+        request.attempted = Default::default();
         self.requests.insert(request_id, request);
         self.request_turn(now_us, request_id, actions);
     }
--- a/crates/core/src/sched/request.rs
+++ b/crates/core/src/sched/request.rs
@@ -56,8 +56,8 @@
 /// Maximum number of servers asked at once.
 pub(super) const COPIES_MAX: usize = 2;
 
-/// Maximum number of tried servers remembered per request.
-pub(super) const TRIED_MAX: usize = 8;
+/// Maximum number of attempted servers remembered per request.
+pub(super) const ATTEMPTED_MAX: usize = 8;
 
 #[derive(Clone, Debug)]
 pub(super) struct Request {
@@ -71,7 +71,7 @@
     pub(super) evict_at_us: MonoTime,
     pub(super) grant_requests: [Option<OpenGrantRequest>; COPIES_MAX],
     pub(super) rounds: u8,
-    pub(super) tried: [Option<ServerIndex>; TRIED_MAX],
+    pub(super) attempted: [Option<ServerIndex>; ATTEMPTED_MAX],
     pub(super) failed_at: Option<ServerIndex>,
     pub(super) retry_after_ms: Option<Millis>,
     pub(super) turn: Option<Hold>,
@@ -99,7 +99,7 @@
             evict_at_us: now_us,
             grant_requests: [None; COPIES_MAX],
             rounds: 0,
-            tried: [None; TRIED_MAX],
+            attempted: [None; ATTEMPTED_MAX],
             failed_at: None,
             retry_after_ms: None,
             turn: None,
@@ -146,8 +146,8 @@
         self.grant_requests.iter().any(Option::is_some)
     }
 
-    pub(super) fn record_tried(&mut self, server: ServerIndex) {
-        if let Some(vacancy) = self.tried.iter_mut().find(|vacancy| vacancy.is_none()) {
+    pub(super) fn record_attempted(&mut self, server: ServerIndex) {
+        if let Some(vacancy) = self.attempted.iter_mut().find(|vacancy| vacancy.is_none()) {
             *vacancy = Some(server);
         }
     }
