--- a/crates/router/src/relay/watch.rs
+++ b/crates/router/src/relay/watch.rs
@@ -112,7 +112,7 @@
 /// Keeps the server list up to date for as long as the daemon runs.
 pub async fn follow_servers(list: Arc<dyn HostList>, own: HostId, state: Arc<RelayState>) {
     let mut dependency = Dependency::new("servers lost", "servers regained");
-    let mut lapses = ExpiredEntries::default();
+    let mut expired = ExpiredEntries::default();
     delay_first_reads(&state).await;
     loop {
         let begun_us = wait_until_due(&state, &own, Feed::Servers).await;
@@ -125,9 +125,9 @@
         match list.read(state.directory.listing().version, LIST_WAIT_MS).await {
             Ok(page) => {
                 dependency.report_success(&state);
-                lapses.read_succeeded(clock::now());
+                expired.read_succeeded(clock::now());
                 let before = state.directory.listing();
-                apply_page(&state, &mut lapses, page);
+                apply_page(&state, &mut expired, page);
                 let after = state.directory.listing();
                 if let Some(change) = ServerChange::between(&before, &after).filter(|_| before.version > 0) {
                     state.server_changes.record(change);
@@ -138,7 +138,7 @@
                 state.peers.schedule_message(Urgency::Soon);
             }
             Err(failure) => {
-                lapses.read_failed();
+                expired.read_failed();
                 dependency.report_failure(&state, &failure);
                 state.freshness.failed(clock::now(), Feed::Servers);
                 catch_up(&state).await;
@@ -148,7 +148,7 @@
 }
 
 /// Applies a page to the directory; vanished entries are kept until their absence is conclusive.
-fn apply_page(state: &RelayState, lapses: &mut ExpiredEntries, page: HostListPage) {
+fn apply_page(state: &RelayState, expired: &mut ExpiredEntries, page: HostListPage) {
     let known = state.directory.listing();
     let (set, vanished) = match page.change {
         HostListChange::Full(hosts) if known.version == 0 => {
@@ -164,7 +164,7 @@
         }
         HostListChange::Some { set, remove } => (set, remove),
     };
-    let gone = lapses.confirm_gone(clock::now(), vanished, set.iter().map(|host| &host.id));
+    let gone = expired.confirm_gone(clock::now(), vanished, set.iter().map(|host| &host.id));
     let change = HostListChange::Some { set, remove: gone };
     state.directory.apply(HostListPage { version: page.version, change });
 }
--- a/crates/router/src/watcher.rs
+++ b/crates/router/src/watcher.rs
@@ -98,7 +98,7 @@
 struct EngineReport {
     server: BackendServerId,
     requested_us: MonoTime,
-    news: ReportContent,
+    content: ReportContent,
 }
 
 #[derive(Debug)]
@@ -325,8 +325,8 @@
     }
 
     fn handle_report(&mut self, reported: EngineReport) {
-        let EngineReport { server, requested_us, news } = reported;
-        match news {
+        let EngineReport { server, requested_us, content } = reported;
+        match content {
             ReportContent::Load(load) => self.load_report(server, requested_us, load),
             ReportContent::Cache(page) => self.cache_report(server, &page),
         }
@@ -424,12 +424,12 @@
         let _ = reports.send(EngineReport {
             server: server.clone(),
             requested_us,
-            news: ReportContent::Load(load),
+            content: ReportContent::Load(load),
         });
     }
     let Some(after) = cache_after else { return };
     if let Ok(page) = engines.cache_events(address, after).await {
-        let _ = reports.send(EngineReport { server, requested_us, news: ReportContent::Cache(page) });
+        let _ = reports.send(EngineReport { server, requested_us, content: ReportContent::Cache(page) });
     }
 }
 
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -312,7 +312,7 @@
             };
             tokio::select! {
                 () = due => self.changes.send_modify(|count| *count += 1),
-                news = changes.changed() => if news.is_err() { return },
+                result = changes.changed() => if result.is_err() { return },
             }
         }
     }
--- a/crates/standins/tests/e2e/bad_input.rs
+++ b/crates/standins/tests/e2e/bad_input.rs
@@ -184,11 +184,11 @@
 #[case::nothing(String::new(), "", "head-too-slow")]
 #[case::preface("PRI * HTTP".to_owned(), "", "head-too-slow")]
 #[tokio::test(flavor = "multi_thread")]
-async fn slow_sender_is_disconnected(#[case] sent: String, #[case] told: &str, #[case] event: &str) {
+async fn slow_sender_is_disconnected(#[case] sent: String, #[case] expected: &str, #[case] event: &str) {
     let cluster = TestCluster::start(SMALL_PLAN).await;
     let daemon = daemon_with_tight_limits(&cluster).await;
     let answer = exchange(daemon.callers_address(), sent.as_bytes()).await;
-    assert!(answer.contains(told), "{answer}");
+    assert!(answer.contains(expected), "{answer}");
     assert_eq!(events(&daemon, event).await, 1);
     assert_unaffected(&cluster, &daemon).await;
     stop(daemon).await;
