--- a/crates/core/src/relay/engines/events.rs
+++ b/crates/core/src/relay/engines/events.rs
@@ -198,7 +198,7 @@
         /// Credit lent.
         credit: Credit,
         /// Credit that the lender has left.
-        lendable: Credit,
+        left: Credit,
     },
     /// Time passed.
     Tick,
--- a/crates/core/src/relay/engines/mod.rs
+++ b/crates/core/src/relay/engines/mod.rs
@@ -142,9 +142,7 @@
             EngineEvent::CallerLeft { request_id } => self.close(now_us, request_id),
             EngineEvent::Engines(list) => self.update_engines(now_us, list),
             EngineEvent::Peer { host, usage } => self.update_peer(now_us, host, usage),
-            EngineEvent::Lent { number, credit, lendable } => {
-                self.budget.receive(now_us, number, credit, lendable)
-            }
+            EngineEvent::Lent { number, credit, left } => self.budget.receive(now_us, number, credit, left),
             EngineEvent::Limited { server, reached } => {
                 if let Some(&index) = self.index_by_name.get(&server) {
                     self.engines[index].instance.limited(now_us, reached);
--- a/crates/core/src/sched/plain.rs
+++ b/crates/core/src/sched/plain.rs
@@ -170,9 +170,9 @@
                     self.instances[index].update_load(now_us, in_flight, capacity, age_us);
                 }
             }
-            PlainEvent::Lent { number, credit, lendable } => {
+            PlainEvent::Lent { number, credit, left } => {
                 if let Some(retry_budget) = self.retry_budget() {
-                    retry_budget.receive(now_us, number, credit, lendable);
+                    retry_budget.receive(now_us, number, credit, left);
                 }
             }
             PlainEvent::Limited { server, reached } => {
--- a/crates/core/src/sched/plain_events.rs
+++ b/crates/core/src/sched/plain_events.rs
@@ -83,7 +83,7 @@
         /// Credit lent.
         credit: Credit,
         /// Credit that remains with the lender.
-        lendable: Credit,
+        left: Credit,
     },
     /// An instance's published rate limit is used up.
     Limited {
--- a/crates/router/src/dispatch/plain_schedulers.rs
+++ b/crates/router/src/dispatch/plain_schedulers.rs
@@ -169,8 +169,8 @@
     }
 
     /// Passes another daemon's answer to a loan request to the scheduler of the service.
-    pub fn lent(&self, name: &str, number: u64, credit: Credit, lendable: Credit) {
-        self.feed(name, PlainEvent::Lent { number, credit, lendable });
+    pub fn lent(&self, name: &str, number: u64, credit: Credit, left: Credit) {
+        self.feed(name, PlainEvent::Lent { number, credit, left });
     }
 
     fn feed_all(&self, event: &PlainEvent) {
--- a/crates/router/src/relay/engine_pools.rs
+++ b/crates/router/src/relay/engine_pools.rs
@@ -268,8 +268,8 @@
     }
 
     /// Records another daemon's reply to a loan request.
-    pub fn lent(&self, name: &str, number: u64, credit: Credit, lendable: Credit) {
-        self.feed(name, EngineEvent::Lent { number, credit, lendable });
+    pub fn lent(&self, name: &str, number: u64, credit: Credit, left: Credit) {
+        self.feed(name, EngineEvent::Lent { number, credit, left });
     }
 
     /// Counters of the pools.
